--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -1,6 +1,6 @@
-// The workload manager on the platform: the desk between clients that speak JSON-RPC and engines that speak
-// binary frames, its list of engines from the command connection. It owns sockets, clock and signals; what
-// becomes of a query is decided by the module alone.
+// The workload manager on the platform: the dispatcher between clients that speak JSON-RPC and engines that
+// speak binary frames, its list of engines from the command connection. It owns sockets, clock and signals;
+// what becomes of a query is decided by the module alone.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,22 +15,22 @@
 #include "client.hpp"
 #include "config.hpp"
 #include "discovery_watch.hpp"
+#include "endpoint_list.hpp"
 #include "engine_connections.hpp"
-#include "fleet.hpp"
+#include "paged_answer.hpp"
 #include "protocol/sql/tables.hpp"
-#include "service/desk_host.hpp"
+#include "service/dispatcher_host.hpp"
 #include "service/listener.hpp"
-#include "streams.hpp"
 
 namespace paddlestand::platform {
 
-class Platform : public service::DeskHost {
+class PlatformServer : public service::DispatcherHost {
  public:
   using tcp = boost::asio::ip::tcp;
 
   // `config_path` is read again at SIGHUP. `trace`: each attempt and answer is a line of the log.
-  Platform(boost::asio::io_context& io, PlatformConfig config, std::string config_path, bool trace);
-  ~Platform() override;
+  PlatformServer(boost::asio::io_context& io, PlatformConfig config, std::string config_path, bool trace);
+  ~PlatformServer() override;
 
   // Listens, and begins. Throws boost::system::system_error where the address can't be had; may be called
   // again then.
@@ -42,7 +42,7 @@
   // Ends every connection, once the loop has ended.
   void close_connections();
   // The listener closes; what the machine has accepted until then is taken.
-  void take_no_more() { listener_.close_when_drained(); }
+  void stop_accepting() { listener_.close_when_drained(); }
   // How long the platform lets it live after SIGTERM.
   [[nodiscard]] Duration life_after_term() const;
 
@@ -50,20 +50,20 @@
   [[nodiscard]] std::size_t unread_bytes() const;  // of answers, by clients
   [[nodiscard]] std::size_t dropped_bytes() const { return dropped_bytes_; }  // behind an end
   [[nodiscard]] std::size_t engine_connections() const { return connections_.size(); }
-  [[nodiscard]] std::size_t engines() const { return fleet_.size(); }
-  [[nodiscard]] std::uint64_t last_event() const { return fleet_.last(); }
+  [[nodiscard]] std::size_t engines() const { return endpoints_.size(); }
+  [[nodiscard]] std::uint64_t last_event() const { return endpoints_.last(); }
 
   // ---- For clients ----
 
-  using DeskHost::lateness;
+  using DispatcherHost::event_loop_lag;
   [[nodiscard]] const jsonrpc::CallReader& calls() const { return calls_; }
-  [[nodiscard]] bool green() const { return told_ && !terminated_; }
+  [[nodiscard]] bool is_ready() const { return told_ && !terminated_; }
   [[nodiscard]] core::SessionId next_session() { return ++last_session_; }
   // Whether a client that is still there has a request with this id open; who has it is read first.
   bool trace_open(std::uint64_t trace);
   [[nodiscard]] std::optional<std::uint64_t> trace_of(core::SessionId session) const;
   void ask(const std::shared_ptr<Client>& client, core::SessionId session, jsonrpc::Query query);
-  void let_go(core::SessionId session);  // its client waits no longer
+  void abandon(core::SessionId session);  // its client waits no longer
   void client_gone(const Client& client) { clients_.erase(client.number()); }
   void dropped(std::size_t bytes) { dropped_bytes_ += bytes; }
   [[nodiscard]] bool room_for(std::size_t bytes) const { return statement_bytes_ + bytes <= most_backlog_; }
@@ -74,18 +74,18 @@
 
   // ---- For engine connections ----
 
-  [[nodiscard]] Duration connect_time() const { return config_.core.connect_time_out; }
+  [[nodiscard]] Duration connect_time() const { return config_.core.connect_timeout; }
   void log_connect_failure(EngineId engine, const boost::system::error_code& error, bool again);
   void connection_up(const std::shared_ptr<EngineConnection>& connection);
   // What goes out for a stream now, its deadline reckoned now; nothing where it must not go out any more.
-  std::optional<std::string> frame_for(core::LinkId link);
-  void connection_lost(const std::shared_ptr<EngineConnection>& connection, core::LinkLoss why,
+  std::optional<std::string> frame_for(core::ChannelId channel);
+  void connection_lost(const std::shared_ptr<EngineConnection>& connection, core::ChannelLossReason why,
                        const std::string& what);
   /// Counts a frame that nobody waits for: a copy, what comes behind an attempt's end, an unknown id.
   void frame_without_stream(const EngineConnection& connection, const engine_frames::Answer& answer);
   [[nodiscard]] std::uint64_t frames_without_stream() const { return frames_without_stream_; }
   // What is wrong with the answer, or nothing.
-  std::string answered(EngineConnection& connection, core::LinkId link, engine_frames::Answer answer);
+  std::string answered(EngineConnection& connection, core::ChannelId channel, engine_frames::Answer answer);
 
  private:
   struct Request {  // one client's request: a session of the core, which asks one query
@@ -96,11 +96,11 @@
     TimePoint until{};
     std::string statement, nonce;
     std::string body;  // of the answer
-    bool let_go = false;
+    bool abandon = false;
   };
-  struct Stream {  // a link of the core
+  struct Stream {  // a channel of the core
     EngineId engine{};
-    core::LinkUse use{};
+    core::ChannelUse use{};
     std::shared_ptr<EngineConnection> connection;
     core::QueryId query = 0;
     core::StreamId id = 0;
@@ -111,20 +111,20 @@
     PagedAnswer answer;
   };
 
-  // The desk's.
-  core::Written send(const core::SendQuery& effect) override;
-  core::Written send(const core::SendProbe& effect) override;
-  void carry_out(const core::OpenLink& effect) override;
-  void carry_out(const core::CancelOnEngine& effect) override;
-  void carry_out(const core::ChangeTerms& effect) override;
-  void carry_out(const core::CloseLink& effect) override;
-  void carry_out(const core::Deliver& effect) override;
-  void carry_out(const core::Discard& effect) override;
-  void carry_out(const core::PauseLink&) override {}  // answers are held whole: no link is slowed
-  void carry_out(const core::ResumeLink&) override {}
-  void carry_out(const core::Answer& effect) override;
-  void carry_out(const core::Left& effect) override;
-  using DeskHost::carry_out;
+  // The dispatcher's.
+  core::WriteResult send(const core::SendQuery& action) override;
+  core::WriteResult send(const core::SendProbe& action) override;
+  void execute(const core::OpenChannel& action) override;
+  void execute(const core::CancelOnEngine& action) override;
+  void execute(const core::UpdateResourceGrant& action) override;
+  void execute(const core::CloseChannel& action) override;
+  void execute(const core::Deliver& action) override;
+  void execute(const core::Discard& action) override;
+  void execute(const core::PauseChannel&) override {}  // answers are held whole: no channel is slowed
+  void execute(const core::ResumeChannel&) override {}
+  void execute(const core::Answer& action) override;
+  void execute(const core::ShutdownComplete& action) override;
+  using DispatcherHost::execute;
 
   void forget_trace(std::uint64_t trace, core::SessionId session);
   void take(tcp::socket socket, Duration waited);
@@ -141,12 +141,12 @@
   void run_after(Duration time, std::function<void()> what);
   bool make_room();
   void end_if_left();
-  Fleet::Taken apply(const command_channel::Event& event);
-  std::optional<core::StreamId> stream_id_of(const core::OpenLink& effect);
-  std::shared_ptr<EngineConnection> connection_for(EngineId engine, core::LinkUse use, core::StreamId id);
+  EndpointList::ApplyResult apply(const discovery::Event& event);
+  std::optional<core::StreamId> stream_id_of(const core::OpenChannel& action);
+  std::shared_ptr<EngineConnection> connection_for(EngineId engine, core::ChannelUse use, core::StreamId id);
   // Whether an attempt of this request may go out now; what was cancelled is over for its engine then.
   bool may_begin_attempt(std::uint64_t trace);
-  void give_up(core::LinkId link, Stream& stream);
+  void give_up(core::ChannelId channel, Stream& stream);
   void sweep_connections(TimePoint at);
   void log_attempt_end(const Stream& stream, std::string_view how);
   LoadReport report_of(const engine_frames::Answer& answer) const;
@@ -162,8 +162,9 @@
   std::map<std::uint64_t, std::shared_ptr<Client>> clients_;
   std::unordered_map<core::SessionId, Request> requests_;  // a session asks the query of its own number
   std::unordered_map<std::uint64_t, core::SessionId> traces_;  // of requests whose clients wait
-  std::map<core::LinkId, Stream> streams_;  // in the order of links: what follows from a loss has one order
-  Fleet fleet_;
+  std::map<core::ChannelId, Stream>
+      streams_;  // in the order of channels: what follows from a loss has one order
+  EndpointList endpoints_;
   std::size_t most_clients_ = 0;
   std::size_t most_backlog_ = 0;
   std::size_t statement_bytes_ = 0;  // of the requests that are open
--- a/src/protocol/discovery/events.cpp
+++ b/src/protocol/discovery/events.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <limits>
 
-namespace paddlestand::command_channel {
+namespace paddlestand::discovery {
 namespace {
 
 constexpr auto big = boost::endian::order::big;
@@ -22,7 +22,7 @@
   out.append(reinterpret_cast<const char*>(raw), sizeof(T));
 }
 
-constexpr EngineState states[] = {EngineState::ready, EngineState::draining, EngineState::gone};
+constexpr EngineState states[] = {EngineState::ready, EngineState::draining, EngineState::removed};
 
 Record read_record(std::string_view bytes) {
   Record record;
@@ -69,7 +69,7 @@
   }
 }
 
-std::variant<std::monostate, Beat, Event, Broken> EventReader::next() {
+std::variant<std::monostate, Heartbeat, Event, Broken> EventReader::next() {
   if (bytes_.size() < 4) return {};
   const std::size_t length = load<std::uint32_t>(bytes_, 0);
   if (length < 9 || length > most_frame) return Broken{"a frame of " + std::to_string(length) + " bytes"};
@@ -89,8 +89,8 @@
     event.records.push_back(read_record(bytes));
   }
   bytes_.erase(0, 4 + length);
-  if (kind == 0) return Beat{};
+  if (kind == 0) return Heartbeat{};
   return event;
 }
 
-}  // namespace paddlestand::command_channel
+}  // namespace paddlestand::discovery
--- a/src/protocol/discovery/events.hpp
+++ b/src/protocol/discovery/events.hpp
@@ -16,7 +16,7 @@
 
 #include "paddlestand/workload_manager.hpp"
 
-namespace paddlestand::command_channel {
+namespace paddlestand::discovery {
 
 inline constexpr std::size_t record_bytes = 27;
 inline constexpr std::size_t most_records = 16384;
@@ -33,7 +33,7 @@
   bool whole{};  // the whole list, not only what changed
   std::vector<Record> records;
 };
-struct Beat {};
+struct Heartbeat {};
 struct Broken {
   std::string what;
 };
@@ -45,10 +45,10 @@
 class EventReader {
  public:
   void feed(std::string_view bytes) { bytes_.append(bytes); }
-  std::variant<std::monostate, Beat, Event, Broken> next();
+  std::variant<std::monostate, Heartbeat, Event, Broken> next();
 
  private:
   std::string bytes_;
 };
 
-}  // namespace paddlestand::command_channel
+}  // namespace paddlestand::discovery
--- a/src/protocol/jsonrpc/calls.cpp
+++ b/src/protocol/jsonrpc/calls.cpp
@@ -13,8 +13,9 @@
 namespace json = boost::json;
 
 constexpr std::size_t most_depth = 8;
-constexpr double most_patience_ms = 3600e3;  // where a class has no deadline
-constexpr double patience_slack = 2;  // of a class's deadline: what is longer is no figure of a client's
+constexpr double max_client_timeout_ms = 3600e3;  // where a class has no deadline
+constexpr double client_timeout_slack =
+    2;  // of a class's deadline: what is longer is no figure of a client's
 constexpr double most_cost_ms = 24 * 3600e3;
 constexpr double most_memory_mb = 1e8;
 
@@ -67,17 +68,17 @@
   if (!trace) return wrong("trace; wanted: 16 hex digits");
   query.trace = *trace;
   const double deadline = static_cast<double>(k.deadline.count()) * 1e-6;
-  const double longest = deadline > 0 ? patience_slack * deadline : most_patience_ms;
+  const double longest = deadline > 0 ? client_timeout_slack * deadline : max_client_timeout_ms;
   const json::value* value = params.if_contains("patience");
-  const auto patience = value == nullptr ? std::nullopt : figure(*value, 1e-3, longest);
-  if (!patience) return wrong("patience; wanted: milliseconds, up to what the class may take");
-  query.patience = milliseconds(*patience);
+  const auto client_timeout = value == nullptr ? std::nullopt : figure(*value, 1e-3, longest);
+  if (!client_timeout) return wrong("patience; wanted: milliseconds, up to what the class may take");
+  query.client_timeout = milliseconds(*client_timeout);
   if (value = params.if_contains("redo"); value != nullptr) {
     const auto redo = figure(*value, 0, 1);
     if (!redo) return wrong("redo; wanted: 1, or nothing");
     query.repeated = *redo > 0;
   }
-  if (k.repeat == Repeat::keyed) {
+  if (k.repeat == Idempotency::idempotent_with_key) {
     value = params.if_contains("nonce");
     if (value == nullptr || !value->is_string()) return wrong("nonce; wanted: 32 hex digits");
     query.nonce = std::string_view(value->get_string());
@@ -102,10 +103,10 @@
     if (named == tenants.end()) return wrong("customer; wanted: one of the settings' tenants");
     query.tenant = static_cast<std::uint32_t>(named - tenants.begin());
   }
-  if (k.in_turn) {
+  if (k.ordered_by_key) {
     const auto key = hex_number(params.if_contains("entity"));
     if (!key) return wrong("entity; wanted: 16 hex digits");
-    query.order_key = std::max<std::uint64_t>(*key, 1);  // zero says that there is none
+    query.ordering_key = std::max<std::uint64_t>(*key, 1);  // zero says that there is none
   }
   value = params.if_contains("content");
   if (value == nullptr || !value->is_string()) return wrong("content; wanted: the statement, in base64");
@@ -214,9 +215,9 @@
   out += "}}\n";
 }
 
-void put_well(std::string& out, std::int64_t id, bool green) {
+void put_well(std::string& out, std::int64_t id, bool is_ready) {
   put_id(out, id);
-  out += green ? ",\"result\":{\"green\":true}}\n" : ",\"result\":{\"green\":false}}\n";
+  out += is_ready ? ",\"result\":{\"green\":true}}\n" : ",\"result\":{\"green\":false}}\n";
 }
 
 void put_done(std::string& out, std::int64_t id) {
--- a/src/protocol/jsonrpc/calls.hpp
+++ b/src/protocol/jsonrpc/calls.hpp
@@ -31,12 +31,12 @@
   std::uint32_t class_index{};
   std::uint32_t tenant{};  // its place in the settings; behind the last: none
   std::uint64_t trace{};
-  Duration patience{};
+  Duration client_timeout{};
   bool repeated{};
   std::string nonce;  // of keyed classes
   std::optional<Duration> cost;
   double memory_mb{};  // zero: not told
-  std::uint64_t order_key{};  // of classes that keep order
+  std::uint64_t ordering_key{};  // of classes that keep order
   std::string statement;
 };
 struct Forget {  // its client waits no longer; no answer is owed
@@ -98,7 +98,7 @@
 void put_result(std::string& out, std::int64_t id, std::string_view body);
 void put_error(std::string& out, std::optional<std::int64_t> id, Code code, std::string_view text,
                Duration pause = {});
-void put_well(std::string& out, std::int64_t id, bool green);
+void put_well(std::string& out, std::int64_t id, bool is_ready);
 void put_done(std::string& out, std::int64_t id);
 
 }  // namespace paddlestand::jsonrpc
--- a/src/protocol/pg/backend_connection.cpp
+++ b/src/protocol/pg/backend_connection.cpp
@@ -1,4 +1,4 @@
-#include "engine_link.hpp"
+#include "backend_connection.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -57,7 +57,7 @@
   return text;
 }
 
-std::string EngineLink::start(EngineLogin login) {
+std::string BackendConnection::start(EngineLogin login) {
   login_ = std::move(login);
   std::string out;
   const std::vector<std::pair<std::string, std::string>> parameters{
@@ -66,7 +66,7 @@
   return out;
 }
 
-std::string EngineLink::flight(const EngineQuery& query, std::uint8_t priority, double memory_mb) {
+std::string BackendConnection::flight(const EngineQuery& query, std::uint8_t priority, double memory_mb) {
   auto wants = terms(priority, memory_mb);
   for (const auto& [name, value] : query.settings) wants.emplace(name, value);
   const std::string change = settings_change(set_, wants);
@@ -85,7 +85,7 @@
   return out;
 }
 
-std::string EngineLink::probe() {
+std::string BackendConnection::probe() {
   std::string out;
   put_query(out, "");
   state_ = State::answering;
@@ -96,14 +96,14 @@
   return out;
 }
 
-void EngineLink::break_off(std::string what, std::vector<LinkEvent>& events) {
+void BackendConnection::break_off(std::string what, std::vector<BackendEvent>& events) {
   if (state_ == State::broken) return;
   state_ = State::broken;
   buffer_.clear();
-  events.emplace_back(LinkBroken{std::move(what)});
+  events.emplace_back(BackendBroken{std::move(what)});
 }
 
-void EngineLink::feed(std::string_view bytes, std::vector<LinkEvent>& events, std::string& reply) {
+void BackendConnection::feed(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply) {
   const std::size_t before = answer_.size(), told = events.size();
   // A message whose beginning came before is made whole first; what follows it is read where it lies.
   while (!buffer_.empty() && !bytes.empty() && state_ != State::broken) {
@@ -118,12 +118,12 @@
   if (state_ != State::broken && !bytes.empty()) cut(bytes, events, reply);
   if (state_ == State::broken) return;
   const bool ended = std::any_of(events.begin() + static_cast<std::ptrdiff_t>(told), events.end(),
-                                 [](const auto& e) { return std::holds_alternative<LinkAnswerEnd>(e); });
-  if (!ended && answer_.size() > before) events.emplace_back(LinkAnswerPart{});
+                                 [](const auto& e) { return std::holds_alternative<BackendAnswerEnd>(e); });
+  if (!ended && answer_.size() > before) events.emplace_back(BackendAnswerPart{});
 }
 
 // Handles what is whole, and keeps the rest.
-void EngineLink::cut(std::string_view bytes, std::vector<LinkEvent>& events, std::string& reply) {
+void BackendConnection::cut(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply) {
   while (!bytes.empty() && state_ != State::broken) {
     if (pass_left_ > 0) {
       const std::size_t part = std::min(pass_left_, bytes.size());
@@ -166,8 +166,8 @@
   if (state_ != State::broken) buffer_.assign(bytes);
 }
 
-void EngineLink::on_message(char type, std::string_view body, std::vector<LinkEvent>& events,
-                            std::string& reply) {
+void BackendConnection::on_message(char type, std::string_view body, std::vector<BackendEvent>& events,
+                                   std::string& reply) {
   switch (state_) {
     case State::starting: return on_startup(type, body, events, reply);
     case State::answering: return on_answer(type, body, events);
@@ -185,8 +185,8 @@
   }
 }
 
-void EngineLink::on_startup(char type, std::string_view body, std::vector<LinkEvent>& events,
-                            std::string& reply) {
+void BackendConnection::on_startup(char type, std::string_view body, std::vector<BackendEvent>& events,
+                                   std::string& reply) {
   Reader in(body);
   switch (type) {
     case 'R': {
@@ -215,19 +215,19 @@
     case 'E': {
       const auto fields = parse_fields(body);
       if (!fields) return break_off("malformed ErrorResponse", events);
-      events.emplace_back(LinkRefused{startup_says_full(fields->code), *fields});
+      events.emplace_back(BackendRefused{startup_says_full(fields->code), *fields});
       state_ = State::broken;
       return;
     }
     case 'Z':
       state_ = State::idle;
-      events.emplace_back(LinkReady{});
+      events.emplace_back(BackendReady{});
       return;
     default: return break_off(std::string("message '") + type + "' during startup", events);
   }
 }
 
-void EngineLink::on_answer(char type, std::string_view body, std::vector<LinkEvent>& events) {
+void BackendConnection::on_answer(char type, std::string_view body, std::vector<BackendEvent>& events) {
   switch (type) {
     case 'T':
     case 't':
@@ -278,7 +278,7 @@
 }
 
 // Whether it was one of ours: load, and what the query needed.
-bool EngineLink::on_parameter(std::string_view body) {
+bool BackendConnection::on_parameter(std::string_view body) {
   Reader in(body);
   const std::string_view name = in.text(), value = in.text();
   if (in.bad()) return false;
@@ -294,18 +294,18 @@
   return true;
 }
 
-bool EngineLink::on_notice(std::string_view body, std::vector<LinkEvent>& events) {
+bool BackendConnection::on_notice(std::string_view body, std::vector<BackendEvent>& events) {
   const auto fields = parse_fields(body);
   if (!fields || fields->code != "01P5T") return false;
   constexpr std::string_view progress = "progress=";
   const std::string_view text = fields->message;
   if (text.starts_with(progress)) {
     if (const auto level = number(text.substr(progress.size())))
-      events.emplace_back(LinkNote{NoteKind::progress, *level});
+      events.emplace_back(BackendProgress{ProgressKind::progress, *level});
   } else if (text == "spilling") {
-    events.emplace_back(LinkNote{NoteKind::spilling, 1});
+    events.emplace_back(BackendProgress{ProgressKind::spilling, 1});
   } else if (text == "waiting") {
-    events.emplace_back(LinkNote{NoteKind::waiting, 1});
+    events.emplace_back(BackendProgress{ProgressKind::waiting, 1});
   }
   return true;
 }
--- a/src/protocol/pg/backend_connection.hpp
+++ b/src/protocol/pg/backend_connection.hpp
@@ -1,5 +1,6 @@
-// The manager's side of a link to an engine, sans-I/O: startup, a query's flight, the answer's messages cut
-// and sorted into what goes to the client and what is told to the core. Answers' bytes pass through verbatim.
+// The manager's side of a channel to an engine, sans-I/O: startup, a query's flight, the answer's messages
+// cut and sorted into what goes to the client and what is told to the core. Answers' bytes pass through
+// verbatim.
 #pragma once
 
 #include <deque>
@@ -23,16 +24,16 @@
   std::map<std::string, std::string> settings;  // of the session, where they differ from the engine's own
 };
 
-struct LinkReady {};
-struct LinkRefused {  // at startup
+struct BackendReady {};
+struct BackendRefused {  // at startup
   bool full = false;
   Fields error;
 };
-struct LinkBroken {  // what came is not the protocol
+struct BackendBroken {  // what came is not the protocol
   std::string what;
 };
-struct LinkAnswerPart {};  // answer() holds more
-struct LinkAnswerEnd {
+struct BackendAnswerPart {};  // answer() holds more
+struct BackendAnswerEnd {
   core::Ending ending{};
   bool reusable = true;
   std::optional<Duration> work;
@@ -41,31 +42,32 @@
   std::uint32_t parses_shown = 0;  // completions of the client's own Parse messages
   std::string error_code;  // of the engine's error, if there was one
 };
-struct LinkNote {
-  NoteKind kind{};
+struct BackendProgress {
+  ProgressKind kind{};
   double level{};
 };
-using LinkEvent = std::variant<LinkReady, LinkRefused, LinkBroken, LinkAnswerPart, LinkAnswerEnd, LinkNote>;
+using BackendEvent = std::variant<BackendReady, BackendRefused, BackendBroken, BackendAnswerPart,
+                                  BackendAnswerEnd, BackendProgress>;
 
 struct EngineLogin {
   std::string user, database, application, password;
   std::string nonce;  // for SCRAM
 };
 
-class EngineLink {
+class BackendConnection {
  public:
-  EngineLink() = default;
+  BackendConnection() = default;
 
   // Bytes to be written first.
   std::string start(EngineLogin login);
 
-  // The flight of a query: terms and settings where they differ from what the link has, then the query.
+  // The flight of a query: terms and settings where they differ from what the channel has, then the query.
   std::string flight(const EngineQuery& query, std::uint8_t priority, double memory_mb);
   std::string probe();
 
   // Takes bytes from the engine; what follows is appended to `events`. Bytes to be written back during
   // startup are appended to `reply`.
-  void feed(std::string_view bytes, std::vector<LinkEvent>& events, std::string& reply);
+  void feed(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply);
 
   [[nodiscard]] CancelKey key() const { return key_; }
   // Bytes of the answer for the client, to be taken by the host.
@@ -76,13 +78,13 @@
  private:
   enum class State : std::uint8_t { starting, idle, prefix, answering, broken };
 
-  void cut(std::string_view bytes, std::vector<LinkEvent>& events, std::string& reply);
-  void on_message(char type, std::string_view body, std::vector<LinkEvent>& events, std::string& reply);
-  void on_startup(char type, std::string_view body, std::vector<LinkEvent>& events, std::string& reply);
-  void on_answer(char type, std::string_view body, std::vector<LinkEvent>& events);
+  void cut(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply);
+  void on_message(char type, std::string_view body, std::vector<BackendEvent>& events, std::string& reply);
+  void on_startup(char type, std::string_view body, std::vector<BackendEvent>& events, std::string& reply);
+  void on_answer(char type, std::string_view body, std::vector<BackendEvent>& events);
   bool on_parameter(std::string_view body);
-  bool on_notice(std::string_view body, std::vector<LinkEvent>& events);
-  void break_off(std::string what, std::vector<LinkEvent>& events);
+  bool on_notice(std::string_view body, std::vector<BackendEvent>& events);
+  void break_off(std::string what, std::vector<BackendEvent>& events);
 
   State state_ = State::starting;
   EngineLogin login_;
@@ -91,11 +93,11 @@
   std::string buffer_;  // less than one message that is handled whole
   std::size_t pass_left_ = 0;  // of a large message that is passed on as it comes
   std::string answer_;
-  std::map<std::string, std::string> set_;  // what this link has set at the engine
+  std::map<std::string, std::string> set_;  // what this channel has set at the engine
   std::vector<bool> parse_shown_;
   std::size_t parses_ = 0;
   bool rows_ = false;
-  LinkAnswerEnd end_;
+  BackendAnswerEnd end_;
 };
 
 // Settings as they are told to an engine: SET of what differs, RESET of what is not wanted any more.
--- a/src/protocol/pg/frontend_session.cpp
+++ b/src/protocol/pg/frontend_session.cpp
@@ -1,4 +1,4 @@
-#include "front.hpp"
+#include "frontend_session.hpp"
 
 #include <algorithm>
 
@@ -102,15 +102,15 @@
 
 }  // namespace
 
-Front::Front(const FrontSettings& settings, std::shared_ptr<const Users> users, CancelKey key,
-             std::string nonce)
+FrontendSession::FrontendSession(const FrontendSettings& settings, std::shared_ptr<const Users> users,
+                                 CancelKey key, std::string nonce)
     : settings_(settings),
       users_(std::move(users)),
       key_(key),
       nonce_(std::move(nonce)),
       frames_(most_startup) {}
 
-std::optional<FrontEvent> Front::next() {
+std::optional<FrontendEvent> FrontendSession::next() {
   while (!busy_) {
     if (state_ == State::ended) return std::nullopt;
     const bool typed = state_ != State::startup;
@@ -125,17 +125,17 @@
   return std::nullopt;
 }
 
-std::optional<FrontEvent> Front::fatal(std::string_view sqlstate, std::string message) {
+std::optional<FrontendEvent> FrontendSession::fatal(std::string_view sqlstate, std::string message) {
   Fields fields = error(sqlstate, std::move(message));
   fields.severity = "FATAL";
   put_error(out_, fields);
   state_ = State::ended;
-  return FrontEnd{};
+  return FrontendClosed{};
 }
 
 // ---- Startup ----
 
-std::optional<FrontEvent> Front::on_startup(std::string_view body) {
+std::optional<FrontendEvent> FrontendSession::on_startup(std::string_view body) {
   const auto message = parse_startup(body);
   if (!message) return fatal("08P01", "malformed startup message");
   if (message->code == ssl_code || message->code == gss_code) {
@@ -144,7 +144,7 @@
   }
   if (message->code == cancel_code) {
     state_ = State::ended;
-    return FrontCancel{message->key};
+    return FrontendCancelRequest{message->key};
   }
   if (message->code >> 16U != 3) {
     return fatal("0A000", "protocol " + std::to_string(message->code >> 16U) + "." +
@@ -191,7 +191,7 @@
   return std::nullopt;
 }
 
-std::optional<FrontEvent> Front::on_password(std::string_view body) {
+std::optional<FrontendEvent> FrontendSession::on_password(std::string_view body) {
   Reader in(body);
   const std::string_view mechanism = in.text();
   const std::int32_t length = in.i32();
@@ -209,7 +209,7 @@
   return std::nullopt;
 }
 
-std::optional<FrontEvent> Front::on_password_last(std::string_view body) {
+std::optional<FrontendEvent> FrontendSession::on_password_last(std::string_view body) {
   const auto answer = scram_->last(body);
   scram_.reset();
   if (!answer) return fatal("28P01", "password authentication failed for user \"" + user_ + "\"");
@@ -217,7 +217,7 @@
   return welcome();
 }
 
-FrontEvent Front::welcome() {
+FrontendEvent FrontendSession::welcome() {
   // From here on messages may be large; what came too early is kept.
   FrameReader frames(settings_.most_message);
   frames.feed(frames_.take_waiting());
@@ -228,19 +228,19 @@
     put_parameter(out_, parameter.name, shown(lower_name(parameter)));
   put_key(out_, key_);
   put_ready(out_, 'I');
-  return FrontStarted{user_, database_, application_};
+  return FrontendStarted{user_, database_, application_};
 }
 
 // ---- Requests ----
 
-std::optional<FrontEvent> Front::on_message(const Frame& frame) {
+std::optional<FrontendEvent> FrontendSession::on_message(const Frame& frame) {
   if (state_ == State::password || state_ == State::password_last) {
     if (frame.type != 'p') return fatal("08P01", "wanted: a password message");
     return state_ == State::password ? on_password(frame.body) : on_password_last(frame.body);
   }
   if (frame.type == 'X') {
     state_ = State::ended;
-    return FrontEnd{};
+    return FrontendClosed{};
   }
   if (state_ == State::skipping) {
     if (frame.type != 'S') return std::nullopt;
@@ -279,9 +279,9 @@
   return std::nullopt;
 }
 
-FrontEvent Front::hand_over(EngineQuery query, std::string text, const sql::Scanned& scanned) {
+FrontendEvent FrontendSession::hand_over(EngineQuery query, std::string text, const sql::Scanned& scanned) {
   busy_ = true;
-  FrontRequest request;
+  FrontendRequest request;
   for (const auto& [name, value] : set_) {
     const Parameter* parameter = find_parameter(name);
     if (parameter != nullptr && parameter->carried && value != parameter->usual) query.settings[name] = value;
@@ -299,7 +299,7 @@
   return request;
 }
 
-std::optional<FrontEvent> Front::on_query(std::string_view body) {
+std::optional<FrontendEvent> FrontendSession::on_query(std::string_view body) {
   if (batch_) {  // a simple query ends what was not synced
     batch_.reset();
   }
@@ -336,7 +336,7 @@
   return hand_over(std::move(query), std::string(text), scanned);
 }
 
-const Front::Prepared* Front::find(const std::string& statement) const {
+const FrontendSession::Prepared* FrontendSession::find(const std::string& statement) const {
   if (batch_) {
     for (auto it = batch_->parsed.rbegin(); it != batch_->parsed.rend(); ++it)
       if (it->first == statement) return &it->second;
@@ -345,7 +345,7 @@
   return found == statements_.end() ? nullptr : &found->second;
 }
 
-void Front::reject_batch(const Fields& fields) {
+void FrontendSession::reject_batch(const Fields& fields) {
   // What was answered before the error stays answered, in order.
   if (batch_) out_ += batch_->local;
   batch_.reset();
@@ -354,7 +354,7 @@
 }
 
 // From here on this batch's messages go to an engine, unless it has been answered here already.
-bool Front::needs_engine() {
+bool FrontendSession::needs_engine() {
   if (!batch_->local_portals.empty()) {
     reject_batch(mixed());
     return false;
@@ -363,7 +363,7 @@
   return true;
 }
 
-void Front::on_parse(std::string_view body) {
+void FrontendSession::on_parse(std::string_view body) {
   if (!batch_) batch_ = Batch{};
   const auto message = parse_parse(body);
   if (!message) return reject_batch(error("08P01", "malformed Parse message"));
@@ -395,7 +395,7 @@
   batch_->parsed.emplace_back(name, std::move(prepared));
 }
 
-bool Front::prepare(const std::string& statement) {
+bool FrontendSession::prepare(const std::string& statement) {
   const Prepared* prepared = find(statement);
   if (prepared == nullptr) {
     reject_batch(error("26000", "prepared statement \"" + statement + "\" does not exist"));
@@ -411,7 +411,7 @@
   return true;
 }
 
-void Front::on_bind(std::string_view body) {
+void FrontendSession::on_bind(std::string_view body) {
   if (!batch_) batch_ = Batch{};
   const auto message = parse_bind(body);
   if (!message) return reject_batch(error("08P01", "malformed Bind message"));
@@ -425,7 +425,7 @@
   if (prepare(statement)) put_bind(batch_->query.bytes, message->portal, "", message->rest);
 }
 
-void Front::on_describe(std::string_view body) {
+void FrontendSession::on_describe(std::string_view body) {
   if (!batch_) batch_ = Batch{};
   const auto message = parse_named(body);
   if (!message) return reject_batch(error("08P01", "malformed Describe message"));
@@ -462,7 +462,7 @@
   if (needs_engine()) put_named(batch_->query.bytes, 'D', 'P', name);
 }
 
-void Front::on_execute(std::string_view body) {
+void FrontendSession::on_execute(std::string_view body) {
   if (!batch_) batch_ = Batch{};
   const auto message = parse_execute(body);
   if (!message) return reject_batch(error("08P01", "malformed Execute message"));
@@ -478,7 +478,7 @@
   put_raw(batch_->query.bytes, 'E', body);
 }
 
-void Front::on_close(std::string_view body) {
+void FrontendSession::on_close(std::string_view body) {
   if (!batch_) batch_ = Batch{};
   const auto message = parse_named(body);
   if (!message) return reject_batch(error("08P01", "malformed Close message"));
@@ -498,7 +498,7 @@
 }
 
 // At a Sync; or at a Flush, where the client waits for what came so far before it goes on.
-std::optional<FrontEvent> Front::finish_batch(bool sync) {
+std::optional<FrontendEvent> FrontendSession::finish_batch(bool sync) {
   if (!batch_ || !batch_->needs_engine) {
     if (batch_) out_ += batch_->local;
     if (sync) {
@@ -520,7 +520,7 @@
   return hand_over(std::move(batch.query), batch.text, scanned);
 }
 
-void Front::adopt_one(const std::string& name, Prepared prepared) {
+void FrontendSession::adopt_one(const std::string& name, Prepared prepared) {
   if (const auto found = statements_.find(name); found != statements_.end())
     statement_bytes_ -= found->second.text.size();
   statement_bytes_ += prepared.text.size();
@@ -528,20 +528,20 @@
 }
 
 // Statements live from the completion of their Parse on, whatever comes after it.
-void Front::adopt(std::uint32_t count) {
+void FrontendSession::adopt(std::uint32_t count) {
   for (std::size_t i = 0; i < under_way_.size() && i < count; ++i)
     adopt_one(under_way_[i].first, std::move(under_way_[i].second));
   under_way_.clear();
 }
 
-void Front::request_done(const LinkAnswerEnd& end) {
+void FrontendSession::request_done(const BackendAnswerEnd& end) {
   busy_ = false;
   adopt(end.parses_shown);
   if (!extended_ || !flushed_) return put_ready(out_, 'I');
   if (!end.error_code.empty()) state_ = State::skipping;
 }
 
-void Front::request_failed(const Fields& fields) {
+void FrontendSession::request_failed(const Fields& fields) {
   busy_ = false;
   adopt(0);
   put_error(out_, fields);
@@ -551,14 +551,15 @@
 
 // ---- Settings ----
 
-std::string Front::shown(const std::string& name) const {
+std::string FrontendSession::shown(const std::string& name) const {
   if (name == "session_authorization") return user_;
   if (const auto found = set_.find(name); found != set_.end()) return found->second;
   const Parameter* parameter = find_parameter(name);
   return parameter == nullptr ? std::string{} : std::string(parameter->usual);
 }
 
-std::optional<Fields> Front::set(const std::string& name, const std::string& value, std::string& out) {
+std::optional<Fields> FrontendSession::set(const std::string& name, const std::string& value,
+                                           std::string& out) {
   const Parameter* parameter = find_parameter(name);
   if (parameter == nullptr)
     return error("0A000", "parameter \"" + name + "\" can't be set through this workload manager");
@@ -591,8 +592,8 @@
   return std::nullopt;
 }
 
-std::optional<Fields> Front::answer_setting(const std::vector<std::string>& words, std::string& out,
-                                            bool described) {
+std::optional<Fields> FrontendSession::answer_setting(const std::vector<std::string>& words, std::string& out,
+                                                      bool described) {
   const auto bare = [](std::string word) {
     if (word.starts_with('\'')) word.erase(0, 1);
     if (word.size() > 1 && word.starts_with('"')) word = word.substr(1, word.size() - 2);
--- a/src/protocol/pg/frontend_session.hpp
+++ b/src/protocol/pg/frontend_session.hpp
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-#include "engine_link.hpp"
+#include "backend_connection.hpp"
 #include "frame.hpp"
 #include "messages.hpp"
 #include "protocol/sql/scan.hpp"
@@ -30,40 +30,41 @@
   std::string mock_secret;  // for users that don't exist
 };
 
-struct FrontSettings {
+struct FrontendSettings {
   std::size_t most_message = 16 * 1024 * 1024;
   std::size_t most_batch = 32 * 1024 * 1024;  // bytes of one extended batch
   std::size_t most_statements = 1000;  // named ones that a session keeps
   std::size_t most_statement_bytes = 16 * 1024 * 1024;  // of their texts together
 };
 
-struct FrontStarted {
+struct FrontendStarted {
   std::string user, database, application;
 };
-struct FrontCancel {  // the connection is for this alone
+struct FrontendCancelRequest {  // the connection is for this alone
   CancelKey key;
 };
-struct FrontRequest {
+struct FrontendRequest {
   EngineQuery query;
   std::string text;  // the statement by which it is classed: the first one of a batch
   sql::Tags tags;  // of its comments
   std::optional<Duration> statement_timeout;
 };
-struct FrontEnd {};  // the client said goodbye, or must be closed: out() holds the last words
-using FrontEvent = std::variant<FrontStarted, FrontCancel, FrontRequest, FrontEnd>;
+struct FrontendClosed {};  // the client said goodbye, or must be closed: out() holds the last words
+using FrontendEvent = std::variant<FrontendStarted, FrontendCancelRequest, FrontendRequest, FrontendClosed>;
 
-class Front {
+class FrontendSession {
  public:
-  Front(const FrontSettings& settings, std::shared_ptr<const Users> users, CancelKey key, std::string nonce);
+  FrontendSession(const FrontendSettings& settings, std::shared_ptr<const Users> users, CancelKey key,
+                  std::string nonce);
 
   // Bytes from the client.
   void feed(std::string_view bytes) { frames_.feed(bytes); }
   // What comes next, if anything: called until it gives nothing. While a request is under way it gives
   // nothing.
-  std::optional<FrontEvent> next();
+  std::optional<FrontendEvent> next();
 
   // The request's answer went to out() in whole; or an error stands for it. Then what the client waits for.
-  void request_done(const LinkAnswerEnd& end);
+  void request_done(const BackendAnswerEnd& end);
   void request_failed(const Fields& error);
 
   // Bytes for the client, to be taken by the host.
@@ -93,12 +94,12 @@
     std::vector<std::pair<std::string, Prepared>> parsed;  // by the client's own Parse messages
   };
 
-  std::optional<FrontEvent> on_startup(std::string_view body);
-  std::optional<FrontEvent> on_password(std::string_view body);
-  std::optional<FrontEvent> on_password_last(std::string_view body);
-  std::optional<FrontEvent> on_message(const Frame& frame);
-  std::optional<FrontEvent> on_query(std::string_view body);
-  std::optional<FrontEvent> finish_batch(bool sync);
+  std::optional<FrontendEvent> on_startup(std::string_view body);
+  std::optional<FrontendEvent> on_password(std::string_view body);
+  std::optional<FrontendEvent> on_password_last(std::string_view body);
+  std::optional<FrontendEvent> on_message(const Frame& frame);
+  std::optional<FrontendEvent> on_query(std::string_view body);
+  std::optional<FrontendEvent> finish_batch(bool sync);
   void on_parse(std::string_view body);
   void on_bind(std::string_view body);
   void on_describe(std::string_view body);
@@ -109,19 +110,19 @@
   void reject_batch(const Fields& error);
   bool prepare(const std::string& statement);  // at the engine's unnamed statement
   [[nodiscard]] const Prepared* find(const std::string& statement) const;
-  std::optional<FrontEvent> fatal(std::string_view sqlstate, std::string message);
-  FrontEvent welcome();
+  std::optional<FrontendEvent> fatal(std::string_view sqlstate, std::string message);
+  FrontendEvent welcome();
   // SET, SHOW and RESET, answered here; an error where this one is not carried.
   std::optional<Fields> answer_setting(const std::vector<std::string>& words, std::string& out,
                                        bool described);
   std::optional<Fields> set(const std::string& name, const std::string& value, std::string& out);
   [[nodiscard]] std::string shown(const std::string& name) const;
   bool needs_engine();
-  FrontEvent hand_over(EngineQuery query, std::string text, const sql::Scanned& scanned);
+  FrontendEvent hand_over(EngineQuery query, std::string text, const sql::Scanned& scanned);
   void adopt(std::uint32_t count);
   void adopt_one(const std::string& name, Prepared prepared);
 
-  FrontSettings settings_;
+  FrontendSettings settings_;
   std::shared_ptr<const Users> users_;
   CancelKey key_;
   std::string nonce_;
--- a/src/protocol/pg/sqlstate.cpp
+++ b/src/protocol/pg/sqlstate.cpp
@@ -34,12 +34,13 @@
     const auto wait = std::chrono::ceil<std::chrono::milliseconds>(answer.retry_after);
     hint = "retry_after_ms=" + std::to_string(wait.count()) + "; ";
   }
-  hint += answer.repeatable == core::Repeatable::harmless ? "repeat=harmless" : "repeat=unknown";
+  hint += answer.retry_safety == core::RetrySafety::safe ? "repeat=harmless" : "repeat=unknown";
   if (answer.kind == AnswerKind::cancelled)
     return error("57014", "canceling statement due to user request", hint);
-  if (answer.leaving) return error("57P01", "the workload manager is leaving", hint);
-  if (answer.time_up) return error("57014", "the query could not be answered within its time", hint);
-  if (answer.kind == AnswerKind::refused)
+  if (answer.shutting_down) return error("57P01", "the workload manager is leaving", hint);
+  if (answer.deadline_exceeded)
+    return error("57014", "the query could not be answered within its time", hint);
+  if (answer.kind == AnswerKind::rejected)
     return error("53400", "the workload manager refuses the query", hint);
   if (answer.begun) return error("08006", "the engine was lost after part of the answer was sent", hint);
   return error("08007", "the query failed and may have run", hint);
--- a/src/service/client_session.cpp
+++ b/src/service/client_session.cpp
@@ -1,4 +1,4 @@
-#include "session.hpp"
+#include "client_session.hpp"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -18,45 +18,46 @@
 constexpr std::size_t keep_room = 64 * 1024;  // a larger buffer is given back once it is empty
 }  // namespace
 
-Session::Session(Manager& manager, tcp::socket socket, core::SessionId id, pg::CancelKey key)
+ClientSession::ClientSession(PostgresServer& manager, tcp::socket socket, core::SessionId id,
+                             pg::CancelKey key)
     : manager_(manager),
       socket_(std::move(socket)),
       id_(id),
       key_(key),
-      front_(manager.front_settings(), manager.users(), key, manager.nonce()),
+      front_(manager.frontend_settings(), manager.users(), key, manager.nonce()),
       since_(steady_clock::now()),
       progress_(since_),
       wake_(manager.io()) {
   wake_.expires_at(steady_clock::time_point::max());
 }
 
-void Session::start() {
+void ClientSession::start() {
   spawn_with(manager_.io(), [self = shared_from_this()] { return self->read(); });
 }
 
-void Session::close() {
+void ClientSession::close() {
   if (closed_) return;
   closed_ = true;
   socket_.close();
   wake_.cancel();
-  if (opened_) manager_.tell(core::SessionClosed{id_});
+  if (opened_) manager_.dispatch(core::SessionClosed{id_});
   manager_.session_gone(id_);
 }
 
 // What was said last is read by its client, whatever it has written meanwhile: only then is it closed.
-void Session::say_goodbye() {
+void ClientSession::say_goodbye() {
   if (closed_) return;
   manager_.linger(std::move(socket_));
   close();
 }
 
-asio::awaitable<void> Session::rest_until_woken() {
+asio::awaitable<void> ClientSession::rest_until_woken() {
   error_code woken;
   co_await wake_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
   if (!closed_ && !ending_) wake_.expires_at(steady_clock::time_point::max());
 }
 
-asio::awaitable<void> Session::read() {
+asio::awaitable<void> ClientSession::read() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
   while (!closed_) {
@@ -71,7 +72,7 @@
   }
 }
 
-IoStatus Session::read_some() {
+IoStatus ClientSession::read_some() {
   const IoResult got = socket_.receive(manager_.scratch());
   switch (got.status) {
     case IoStatus::progress:
@@ -89,7 +90,7 @@
 }
 
 // Takes what the front makes of the client's bytes, as far as it goes.
-void Session::pump() {
+void ClientSession::pump() {
   if (pumping_) return;  // an answer came at once, while a request was handed over: the loop below goes on
   pumping_ = true;
   while (!closed_ && !ending_) {
@@ -100,13 +101,13 @@
     out_ += front_.out();
     front_.out().clear();
     if (!event) break;
-    if (std::holds_alternative<pg::FrontStarted>(*event)) {
+    if (std::holds_alternative<pg::FrontendStarted>(*event)) {
       opened_ = true;
-      manager_.tell(core::SessionOpened{id_});
-    } else if (const auto* cancel = std::get_if<pg::FrontCancel>(&*event)) {
+      manager_.dispatch(core::SessionOpened{id_});
+    } else if (const auto* cancel = std::get_if<pg::FrontendCancelRequest>(&*event)) {
       manager_.cancel_session(cancel->key);
       ending_ = true;
-    } else if (auto* request = std::get_if<pg::FrontRequest>(&*event)) {
+    } else if (auto* request = std::get_if<pg::FrontendRequest>(&*event)) {
       manager_.ask(shared_from_this(), std::move(*request));
     } else {
       ending_ = true;
@@ -117,19 +118,19 @@
   pump_if_room();
 }
 
-bool Session::has_room() const {
+bool ClientSession::has_room() const {
   return out_.size() + writing_.size() - written_ <= manager_.config().core.client_window;
 }
 
-void Session::pump_if_room() {
+void ClientSession::pump_if_room() {
   if (!crowded_ || closed_ || !has_room()) return;
   crowded_ = false;
   wake_.cancel();
   pump();
 }
 
-void Session::deliver(std::string& bytes, bool mid_message) {
-  untaken_ += bytes.size();
+void ClientSession::deliver(std::string& bytes, bool mid_message) {
+  undelivered_bytes_ += bytes.size();
   mid_message_ = mid_message;
   if (out_.empty()) {
     out_.swap(bytes);
@@ -141,7 +142,7 @@
   if (out_.size() >= keep_room) flush();
 }
 
-void Session::answered(const core::Answer& answer, const pg::LinkAnswerEnd* end) {
+void ClientSession::answered(const core::Answer& answer, const pg::BackendAnswerEnd* end) {
   request_ = {};
   if (closed_) return;
   if (answer.kind == core::AnswerKind::served && end != nullptr) {
@@ -162,7 +163,7 @@
   if (leaving_) leave();
 }
 
-bool Session::still_there() {
+bool ClientSession::still_there() {
   if (closed_) return false;
   char next{};
   const IoStatus status = socket_.peek({&next, 1}).status;
@@ -170,7 +171,7 @@
   return !closed_;
 }
 
-void Session::leave() {
+void ClientSession::leave() {
   leaving_ = true;
   if (closed_ || ending_ || front_.busy()) return;
   auto fields = pg::error("57P01", "the workload manager is leaving", "repeat=harmless");
@@ -181,22 +182,22 @@
   flush();
 }
 
-void Session::refuse(const pg::Fields& error) {
+void ClientSession::refuse(const pg::Fields& error) {
   front_.request_failed(error);
   out_ += front_.out();
   front_.out().clear();
 }
 
-void Session::took(std::size_t bytes) {
+void ClientSession::took(std::size_t bytes) {
   progress_ = steady_clock::now();
-  const std::size_t delivered = std::min(bytes, untaken_);
+  const std::size_t delivered = std::min(bytes, undelivered_bytes_);
   if (delivered == 0) return;
-  untaken_ -= delivered;
-  manager_.tell(core::ClientTook{id_, delivered});
+  undelivered_bytes_ -= delivered;
+  manager_.dispatch(core::ClientConsumed{id_, delivered});
 }
 
 // Writes what waits, until it can't now, or never again.
-IoStatus Session::write_some() {
+IoStatus ClientSession::write_some() {
   for (;;) {
     if (written_ == writing_.size()) {
       writing_.clear();
@@ -213,7 +214,7 @@
   }
 }
 
-void Session::flush() {
+void ClientSession::flush() {
   if (closed_ || writes_) return;
   writes_ = true;  // what is told of the bytes may bring more of them
   const IoStatus status = write_some();
@@ -229,7 +230,7 @@
   spawn_with(manager_.io(), [self = shared_from_this()] { return self->write_on(); });
 }
 
-asio::awaitable<void> Session::write_on() {
+asio::awaitable<void> ClientSession::write_on() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
   while (!closed_ && last != IoStatus::progress) {
@@ -246,7 +247,7 @@
   pump_if_room();
 }
 
-void Session::sweep(steady_clock::time_point now) {
+void ClientSession::sweep(steady_clock::time_point now) {
   if (closed_) return;
   const auto& listen = manager_.config().listen;
   if (!front_.started() && now - since_ > listen.login_time) {
--- a/src/service/client_session.hpp
+++ b/src/service/client_session.hpp
@@ -7,15 +7,15 @@
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
 
-#include "manager.hpp"
+#include "postgres_server.hpp"
 
 namespace paddlestand::service {
 
-class Session : public std::enable_shared_from_this<Session> {
+class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  Session(Manager& manager, tcp::socket socket, core::SessionId id, pg::CancelKey key);
+  ClientSession(PostgresServer& manager, tcp::socket socket, core::SessionId id, pg::CancelKey key);
 
   void start();
   // At once. What is unread resets the connection: for clients that are gone or owe reading.
@@ -24,7 +24,7 @@
   // An engine's answer, or part of it.
   void deliver(std::string& bytes, bool mid_message);
   // The request is over.
-  void answered(const core::Answer& answer, const pg::LinkAnswerEnd* end);
+  void answered(const core::Answer& answer, const pg::BackendAnswerEnd* end);
 
   // Whether its client's end is not here, read or unread. Closes it where it is.
   bool still_there();
@@ -40,7 +40,7 @@
 
   [[nodiscard]] core::SessionId id() const { return id_; }
   [[nodiscard]] pg::CancelKey key() const { return key_; }
-  [[nodiscard]] const pg::Front& front() const { return front_; }
+  [[nodiscard]] const pg::FrontendSession& front() const { return front_; }
   [[nodiscard]] const pg::EngineQuery& query() const { return request_; }
 
   // What the request under way is, kept until its final answer: it may have to be sent again.
@@ -59,14 +59,14 @@
   void flush();
   void took(std::size_t bytes);
 
-  Manager& manager_;
+  PostgresServer& manager_;
   StreamSocket socket_;
   core::SessionId id_;
   pg::CancelKey key_;
-  pg::Front front_;
+  pg::FrontendSession front_;
   std::string out_, writing_;
   std::size_t written_ = 0;  // of writing_
-  std::size_t untaken_ = 0;  // delivered bytes that are still to be written
+  std::size_t undelivered_bytes_ = 0;  // delivered bytes that are still to be written
   bool crowded_ = false;  // the next request waits until the client has read
   bool pumping_ = false, writes_ = false, closed_ = false, ending_ = false, mid_message_ = false,
        opened_ = false, leaving_ = false;
--- a/src/service/dispatcher_host.cpp
+++ b/src/service/dispatcher_host.cpp
@@ -1,4 +1,4 @@
-#include "desk_host.hpp"
+#include "dispatcher_host.hpp"
 
 #include <algorithm>
 
@@ -17,23 +17,24 @@
 
 }  // namespace
 
-core::LinkLoss loss_of(const ConnectFailure& failure) {
-  return failure.verdict == core::CallVerdict::refused ? core::LinkLoss::refused : core::LinkLoss::local;
+core::ChannelLossReason loss_of(const ConnectFailure& failure) {
+  return failure.verdict == core::CallVerdict::refused ? core::ChannelLossReason::refused
+                                                       : core::ChannelLossReason::local;
 }
 
-DeskHost::DeskHost(boost::asio::io_context& io, const observe::LogConfig& log, const std::string& name,
-                   const core::CoreSettings& core)
-    : io_(io), log_(log, name), desk_(core, true), timer_(io), scratch_(scratch_bytes) {}
+DispatcherHost::DispatcherHost(boost::asio::io_context& io, const observe::LogConfig& log,
+                               const std::string& name, const core::CoreSettings& core)
+    : io_(io), log_(log, name), dispatcher_(core, true), timer_(io), scratch_(scratch_bytes) {}
 
-void DeskHost::tell(core::CoreEvent event) {
-  const bool first = !desk_.taking();
-  desk_.tell(std::move(event), *this);
+void DispatcherHost::dispatch(core::CoreEvent event) {
+  const bool first = !dispatcher_.is_dispatching();
+  dispatcher_.dispatch(std::move(event), *this);
   if (first) arm();  // once a turn: what is due in its middle may not be at its end
 }
 
-TimePoint DeskHost::now() { return steady_now(); }
+TimePoint DispatcherHost::now() { return steady_now(); }
 
-Duration DeskHost::lateness() {
+Duration DispatcherHost::event_loop_lag() {
   const TimePoint now = steady_now();
   // What came during a stall is read in the turns right after it, before or after the timer's own.
   const Duration before = now - stall_seen_ < after_stall ? stall_ : Duration{};
@@ -41,19 +42,19 @@
   return std::max({Duration{0}, before, pending});
 }
 
-void DeskHost::count(core::Violation violation, const std::string& what) {
+void DispatcherHost::count(core::Violation violation, const std::string& what) {
   if (violations_.add(violation))
     log_.error("violation", std::string(core::name_of(violation)) + ": " + what);
 }
 
-void DeskHost::broken(const core::Breach& breach) {
-  log_.error("promise", std::string(core::name_of(breach.promise)) + ": " + breach.what);
+void DispatcherHost::on_violation(const core::InvariantViolation& violation) {
+  log_.error("promise", std::string(core::name_of(violation.invariant)) + ": " + violation.what);
 }
 
-void DeskHost::carry_out(const core::Remark& effect) { log_.info("judgment", effect.text); }
+void DispatcherHost::execute(const core::LogMessage& action) { log_.info("judgment", action.text); }
 
-void DeskHost::arm() {
-  const auto due = desk_.due();
+void DispatcherHost::arm() {
+  const auto due = dispatcher_.due();
   if (!due || stopped_ || (armed_ && *armed_ <= *due)) return;
   armed_ = due;
   timer_.expires_at(steady_clock::time_point(std::chrono::duration_cast<steady_clock::duration>(*due)));
@@ -64,13 +65,13 @@
       stall_ = stall_seen_ - *armed_;
     }
     armed_.reset();
-    tell(core::TimeCame{});
+    dispatch(core::TimerExpired{});
   });
 }
 
-void DeskHost::stop() {
+void DispatcherHost::stop() {
   stopped_ = true;
-  desk_.stop();
+  dispatcher_.stop();
   io_.stop();
 }
 
--- a/src/service/dispatcher_host.hpp
+++ b/src/service/dispatcher_host.hpp
@@ -1,5 +1,5 @@
-// What every host of the desk on sockets shares: the loop, the clock, the one timer, the log. Which protocols
-// are spoken at either side is the deriving host's.
+// What every host of the dispatcher on sockets shares: the loop, the clock, the one timer, the log. Which
+// protocols are spoken at either side is the deriving host's.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -11,26 +11,26 @@
 #include <vector>
 
 #include "core/connection_policy.hpp"
-#include "core/desk.hpp"
 #include "core/engine_starts.hpp"
+#include "core/event_dispatcher.hpp"
 #include "observe/log.hpp"
 #include "socket_calls.hpp"
 
 namespace paddlestand::service {
 
-// What it means for a link that its connection did not come about.
-core::LinkLoss loss_of(const ConnectFailure& failure);
+// What it means for a channel that its connection did not come about.
+core::ChannelLossReason loss_of(const ConnectFailure& failure);
 
-class DeskHost : protected core::Hands {
+class DispatcherHost : protected core::HostInterface {
  public:
-  DeskHost(const DeskHost&) = delete;
-  DeskHost& operator=(const DeskHost&) = delete;
+  DispatcherHost(const DispatcherHost&) = delete;
+  DispatcherHost& operator=(const DispatcherHost&) = delete;
 
   // Takes an event now, or right after the one that is being taken.
-  void tell(core::CoreEvent event);
+  void dispatch(core::CoreEvent event);
 
   [[nodiscard]] TimePoint reading() { return now(); }
-  [[nodiscard]] core::Counts counts() const { return desk_.counts(); }
+  [[nodiscard]] core::Counts counts() const { return dispatcher_.counts(); }
   [[nodiscard]] observe::Log& log() { return log_; }
   [[nodiscard]] const core::ViolationCounter& violations() const { return violations_; }
   [[nodiscard]] boost::asio::io_context& io() { return io_; }
@@ -38,24 +38,24 @@
   [[nodiscard]] std::span<char> scratch() { return scratch_; }
 
  protected:
-  DeskHost(boost::asio::io_context& io, const observe::LogConfig& log, const std::string& name,
-           const core::CoreSettings& core);
-  ~DeskHost() override = default;
+  DispatcherHost(boost::asio::io_context& io, const observe::LogConfig& log, const std::string& name,
+                 const core::CoreSettings& core);
+  ~DispatcherHost() override = default;
 
   TimePoint now() override;
-  void carry_out(const core::Remark& effect) override;
-  void broken(const core::Breach& breach) override;
-  using core::Hands::carry_out;
+  void execute(const core::LogMessage& action) override;
+  void on_violation(const core::InvariantViolation& violation) override;
+  using core::HostInterface::execute;
 
   void stop();
   // By how much the loop is behind, as its own timer tells: what is read now may have come so much earlier.
-  [[nodiscard]] Duration lateness();
+  [[nodiscard]] Duration event_loop_lag();
   // Counts what must never happen, and logs the first of each kind.
   void count(core::Violation violation, const std::string& what);
 
   boost::asio::io_context& io_;
   observe::Log log_;
-  core::Desk desk_;
+  core::EventDispatcher dispatcher_;
   core::EngineStarts engine_starts_;
   bool stopped_ = false;
 
--- a/src/service/engine_channel.cpp
+++ b/src/service/engine_channel.cpp
@@ -1,4 +1,4 @@
-#include "link.hpp"
+#include "engine_channel.hpp"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -10,7 +10,7 @@
 using boost::system::error_code;
 using std::chrono::steady_clock;
 
-Link::Link(Manager& manager, core::LinkId id, tcp::endpoint at)
+EngineChannel::EngineChannel(PostgresServer& manager, core::ChannelId id, tcp::endpoint at)
     : manager_(manager),
       id_(id),
       at_(std::move(at)),
@@ -20,42 +20,42 @@
   wake_.expires_at(steady_clock::time_point::max());
 }
 
-void Link::start() {
+void EngineChannel::start() {
   spawn_with(manager_.io(), [self = shared_from_this()] { return self->run(); });
 }
 
 // The core has let go of it: nothing is told of it any more.
-void Link::close() {
+void EngineChannel::close() {
   closed_ = true;
   socket_.close();
   wake_.cancel();
 }
 
-void Link::lost(core::LinkLoss why) {
+void EngineChannel::lost(core::ChannelLossReason why) {
   if (closed_) return;
-  manager_.tell(core::LinkLost{id_, why});
+  manager_.dispatch(core::ChannelLost{id_, why});
 }
 
-void Link::resume() {
+void EngineChannel::resume() {
   paused_ = false;
   wake_.cancel();
 }
 
-asio::awaitable<bool> Link::connect() {
+asio::awaitable<bool> EngineChannel::connect() {
   const auto failure = co_await connect_before(
-      socket_, at_, opened_ + manager_.config().core.connect_time_out, [this] { return closed_; },
+      socket_, at_, opened_ + manager_.config().core.connect_timeout, [this] { return closed_; },
       [](const ConnectFailure&, bool) {});
   if (failure && !closed_) lost(loss_of(*failure));
   co_return !failure && !closed_;
 }
 
-asio::awaitable<void> Link::rest_until_resumed() {
+asio::awaitable<void> EngineChannel::rest_until_resumed() {
   error_code woken;
   co_await wake_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
   if (!closed_) wake_.expires_at(steady_clock::time_point::max());
 }
 
-asio::awaitable<void> Link::run() {
+asio::awaitable<void> EngineChannel::run() {
   const auto self = shared_from_this();
   if (!co_await connect()) co_return;
   co_await write_reply(protocol_.start(manager_.engine_login()));
@@ -74,12 +74,12 @@
   }
 }
 
-IoStatus Link::read_some(std::string& reply) {
+IoStatus EngineChannel::read_some(std::string& reply) {
   const IoResult got = socket_.receive(manager_.scratch());
   if (got.status == IoStatus::end_of_input || got.status == IoStatus::ended) {
-    lost(core::LinkLoss::closed);
+    lost(core::ChannelLossReason::closed);
   } else if (got.status == IoStatus::progress) {
-    std::vector<pg::LinkEvent> events;
+    std::vector<pg::BackendEvent> events;
     protocol_.feed({manager_.scratch().data(), got.bytes}, events, reply);
     on_events(events);
   }
@@ -87,7 +87,7 @@
 }
 
 // Its failure is found by the next read.
-asio::awaitable<void> Link::write_reply(std::string bytes) {
+asio::awaitable<void> EngineChannel::write_reply(std::string bytes) {
   const auto self = shared_from_this();
   while (!closed_ && !bytes.empty()) {
     const IoResult sent = socket_.send(bytes);
@@ -97,45 +97,45 @@
   }
 }
 
-void Link::on_events(const std::vector<pg::LinkEvent>& events) {
-  for (const pg::LinkEvent& event : events) {
+void EngineChannel::on_events(const std::vector<pg::BackendEvent>& events) {
+  for (const pg::BackendEvent& event : events) {
     if (closed_) return;
     const std::size_t fresh = protocol_.answer().size() - told_;
-    if (std::holds_alternative<pg::LinkReady>(event)) {
-      manager_.tell(core::LinkUp{id_});
-    } else if (const auto* refused = std::get_if<pg::LinkRefused>(&event)) {
+    if (std::holds_alternative<pg::BackendReady>(event)) {
+      manager_.dispatch(core::ChannelOpened{id_});
+    } else if (const auto* refused = std::get_if<pg::BackendRefused>(&event)) {
       manager_.log().info("engine", "link " + std::to_string(id_) + " refused: " + refused->error.code + " " +
                                         refused->error.message);
-      lost(core::LinkLoss::refused);
-    } else if (const auto* broken = std::get_if<pg::LinkBroken>(&event)) {
-      manager_.log().warn("engine", "link " + std::to_string(id_) + " closed: " + broken->what);
-      lost(core::LinkLoss::broken_protocol);
-    } else if (std::holds_alternative<pg::LinkAnswerPart>(event)) {
+      lost(core::ChannelLossReason::refused);
+    } else if (const auto* on_violation = std::get_if<pg::BackendBroken>(&event)) {
+      manager_.log().warn("engine", "link " + std::to_string(id_) + " closed: " + on_violation->what);
+      lost(core::ChannelLossReason::protocol_error);
+    } else if (std::holds_alternative<pg::BackendAnswerPart>(event)) {
       told_ += fresh;
-      manager_.tell(core::AnswerPart{id_, fresh});
-    } else if (const auto* end = std::get_if<pg::LinkAnswerEnd>(&event)) {
+      manager_.dispatch(core::AnswerPart{id_, fresh});
+    } else if (const auto* end = std::get_if<pg::BackendAnswerEnd>(&event)) {
       told_ = 0;
       const bool reusable = end->reusable && terms_changes_ == 0;
       manager_.tell_end({id_, end->ending, fresh, reusable, end->work, end->memory_mb, end->report}, *end);
-    } else if (const auto* note = std::get_if<pg::LinkNote>(&event)) {
-      manager_.tell(core::EngineNote{id_, note->kind, note->level});
+    } else if (const auto* note = std::get_if<pg::BackendProgress>(&event)) {
+      manager_.dispatch(core::EngineProgress{id_, note->kind, note->level});
     }
   }
 }
 
-core::Written Link::send(std::string bytes) {
+core::WriteResult EngineChannel::send(std::string bytes) {
   writing_ = std::move(bytes);
   written_ = 0;
   const IoStatus status = write_some();
   // The reader will find the same; told now, since nothing of the query was handed over.
-  if (status == IoStatus::ended) return core::Written::failed;
-  if (status == IoStatus::progress) return core::Written::whole;
+  if (status == IoStatus::ended) return core::WriteResult::failed;
+  if (status == IoStatus::progress) return core::WriteResult::complete;
   spawn_with(manager_.io(), [self = shared_from_this()] { return self->write_on(); });
-  return core::Written::partly;
+  return core::WriteResult::partial;
 }
 
 // Writes what waits, until it can't now, or never again.
-IoStatus Link::write_some() {
+IoStatus EngineChannel::write_some() {
   while (written_ < writing_.size()) {
     const IoResult sent = socket_.send(std::string_view(writing_).substr(written_));
     if (sent.status != IoStatus::progress) return sent.status;
@@ -148,7 +148,7 @@
 
 // Waits for room and writes in one turn: an asynchronous write would hand the last byte over in the reactor,
 // and whatever came before its completion would still take the query for one that never ran.
-asio::awaitable<void> Link::write_on() {
+asio::awaitable<void> EngineChannel::write_on() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
   for (;;) {
@@ -156,11 +156,11 @@
     if (closed_) co_return;
     last = write_some();
     if (last == IoStatus::ended) {
-      lost(core::LinkLoss::closed);
+      lost(core::ChannelLossReason::closed);
       co_return;
     }
     if (last != IoStatus::progress) continue;
-    manager_.tell(core::QuerySent{id_});
+    manager_.dispatch(core::QuerySent{id_});
     co_return;
   }
 }
--- a/src/service/engine_channel.hpp
+++ b/src/service/engine_channel.hpp
@@ -6,27 +6,27 @@
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
 
-#include "manager.hpp"
+#include "postgres_server.hpp"
 
 namespace paddlestand::service {
 
-class Link : public std::enable_shared_from_this<Link> {
+class EngineChannel : public std::enable_shared_from_this<EngineChannel> {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  Link(Manager& manager, core::LinkId id, tcp::endpoint at);
+  EngineChannel(PostgresServer& manager, core::ChannelId id, tcp::endpoint at);
 
   void start();
   void close();
   // What is written only partly goes on by itself, and QuerySent is told in the turn of the last byte.
-  core::Written send(std::string bytes);
+  core::WriteResult send(std::string bytes);
   void pause() { paused_ = true; }
   void resume();
 
-  [[nodiscard]] pg::EngineLink& protocol() { return protocol_; }
+  [[nodiscard]] pg::BackendConnection& protocol() { return protocol_; }
   [[nodiscard]] tcp::endpoint at() const { return at_; }
-  // A change of terms names this link's process, not its query: until it is known to have been made or
-  // dropped, it could strike the next query, so that none follows on this link.
+  // A change of terms names this channel's process, not its query: until it is known to have been made or
+  // dropped, it could strike the next query, so that none follows on this channel.
   void terms_change_begins() { ++terms_changes_; }
   void terms_change_ended() { --terms_changes_; }
   // What is kept of an answer, told to the core so far.
@@ -40,14 +40,14 @@
   boost::asio::awaitable<void> rest_until_resumed();
   IoStatus read_some(std::string& reply);
   IoStatus write_some();
-  void lost(core::LinkLoss why);
-  void on_events(const std::vector<pg::LinkEvent>& events);
+  void lost(core::ChannelLossReason why);
+  void on_events(const std::vector<pg::BackendEvent>& events);
 
-  Manager& manager_;
-  core::LinkId id_;
+  PostgresServer& manager_;
+  core::ChannelId id_;
   tcp::endpoint at_;
   StreamSocket socket_;
-  pg::EngineLink protocol_;
+  pg::BackendConnection protocol_;
   std::string writing_;
   std::size_t written_ = 0;
   std::size_t terms_changes_ = 0;  // on their way to the engine
--- a/src/service/listener.cpp
+++ b/src/service/listener.cpp
@@ -24,11 +24,12 @@
 
 }  // namespace
 
-Listener::Listener(asio::io_context& io, OnConnection on_connection, OnTrouble on_trouble, Lateness lateness)
+Listener::Listener(asio::io_context& io, OnConnection on_connection, OnTrouble on_trouble,
+                   Lateness event_loop_lag)
     : io_(io),
       on_connection_(std::move(on_connection)),
       on_trouble_(std::move(on_trouble)),
-      lateness_(std::move(lateness)),
+      lateness_(std::move(event_loop_lag)),
       acceptor_(io) {}
 
 void Listener::open(const tcp::endpoint& at) {
--- a/src/service/listener.hpp
+++ b/src/service/listener.hpp
@@ -21,7 +21,8 @@
   using Lateness = std::function<Duration()>;
 
   /// `on_trouble` hears of the first error of a series.
-  Listener(boost::asio::io_context& io, OnConnection on_connection, OnTrouble on_trouble, Lateness lateness);
+  Listener(boost::asio::io_context& io, OnConnection on_connection, OnTrouble on_trouble,
+           Lateness event_loop_lag);
 
   /// Throws boost::system::system_error; may be called again then.
   void open(const tcp::endpoint& at);
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -1,4 +1,4 @@
-#include "manager.hpp"
+#include "postgres_server.hpp"
 
 #include <openssl/rand.h>
 #include <sys/stat.h>
@@ -10,9 +10,9 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
 
-#include "link.hpp"
+#include "client_session.hpp"
+#include "engine_channel.hpp"
 #include "protocol/pg/sqlstate.hpp"
-#include "session.hpp"
 #include "signals.hpp"
 #include "spawn.hpp"
 
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-Manager::Manager(asio::io_context& io, config::ManagerConfig config, std::string config_path, pg::Users users,
-                 std::string engine_password)
-    : DeskHost(io, config.log, config.name, config.core),
+PostgresServer::PostgresServer(asio::io_context& io, config::ManagerConfig config, std::string config_path,
+                               pg::Users users, std::string engine_password)
+    : DispatcherHost(io, config.log, config.name, config.core),
       config_(std::move(config)),
       config_path_(std::move(config_path)),
       users_(std::make_shared<const pg::Users>(std::move(users))),
@@ -53,24 +53,25 @@
       classifier_(config_.classifier, config_.core.module),
       listener_(
           io, [this](tcp::socket socket, Duration) { take(std::move(socket)); },
-          [this](const std::string& what) { log_.warn("accept", what); }, [this] { return lateness(); }) {
-  front_settings_.most_message = config_.listen.most_message;
+          [this](const std::string& what) { log_.warn("accept", what); },
+          [this] { return event_loop_lag(); }) {
+  frontend_settings_.most_message = config_.listen.most_message;
 }
 
-Manager::~Manager() = default;
+PostgresServer::~PostgresServer() = default;
 
-std::string Manager::nonce() {
+std::string PostgresServer::nonce() {
   unsigned char raw[18];
   RAND_bytes(raw, sizeof(raw));
   return pg::base64({reinterpret_cast<const char*>(raw), sizeof(raw)});
 }
 
-pg::EngineLogin Manager::engine_login() const {
+pg::EngineLogin PostgresServer::engine_login() const {
   return {config_.login.user, config_.login.database, "paddlestand/" + config_.name, engine_password_,
-          const_cast<Manager*>(this)->nonce()};
+          const_cast<PostgresServer*>(this)->nonce()};
 }
 
-void Manager::start() {
+void PostgresServer::start() {
   listener_.open(tcp::endpoint(asio::ip::make_address(config_.listen.address), config_.listen.port));
   use_engines(config_.engines);
   spawn(io_, listener_.run());
@@ -82,91 +83,91 @@
 
 // ---- The core ----
 
-void Manager::tell_end(const core::AnswerEnd& event, const pg::LinkAnswerEnd& end) {
-  ends_[event.link] = end;
-  tell(event);
+void PostgresServer::tell_end(const core::AnswerEnd& event, const pg::BackendAnswerEnd& end) {
+  ends_[event.channel] = end;
+  dispatch(event);
 }
 
-void Manager::taking(const core::CoreEvent& event) {
+void PostgresServer::on_event(const core::CoreEvent& event) {
   current_end_.reset();
   const auto* end = std::get_if<core::AnswerEnd>(&event);
   if (end == nullptr) return;
-  if (auto told = ends_.extract(end->link)) current_end_ = std::move(told.mapped());
+  if (auto told = ends_.extract(end->channel)) current_end_ = std::move(told.mapped());
 }
 
-std::shared_ptr<Link> Manager::find_link(core::LinkId id) const {
-  const auto found = links_.find(id);
-  return found == links_.end() ? nullptr : found->second;
+std::shared_ptr<EngineChannel> PostgresServer::find_channel(core::ChannelId id) const {
+  const auto found = channels_.find(id);
+  return found == channels_.end() ? nullptr : found->second;
 }
 
-std::shared_ptr<Session> Manager::find_session(core::SessionId id) const {
+std::shared_ptr<ClientSession> PostgresServer::find_session(core::SessionId id) const {
   const auto found = sessions_.find(id);
   return found == sessions_.end() ? nullptr : found->second;
 }
 
-void Manager::carry_out(const core::OpenLink& effect) {
-  const auto link = std::make_shared<Link>(*this, effect.link, engines_.at(effect.engine));
-  links_.emplace(effect.link, link);
-  link->start();
+void PostgresServer::execute(const core::OpenChannel& action) {
+  const auto channel = std::make_shared<EngineChannel>(*this, action.channel, engines_.at(action.engine));
+  channels_.emplace(action.channel, channel);
+  channel->start();
 }
 
-core::Written Manager::send(const core::SendQuery& effect) {
-  const auto link = find_link(effect.link);
-  const auto session = find_session(queries_.at(effect.query));
+core::WriteResult PostgresServer::send(const core::SendQuery& action) {
+  const auto channel = find_channel(action.channel);
+  const auto session = find_session(queries_.at(action.query));
   // Its client may have gone since it was last read: nothing begins for it.
-  if (!session || !session->still_there()) return core::Written::withheld;
-  return link->send(link->protocol().flight(session->query(), effect.priority, effect.memory_mb));
+  if (!session || !session->still_there()) return core::WriteResult::suppressed;
+  return channel->send(channel->protocol().flight(session->query(), action.priority, action.memory_mb));
 }
 
-core::Written Manager::send(const core::SendProbe& effect) {
-  const auto link = find_link(effect.link);
-  return link->send(link->protocol().probe());
+core::WriteResult PostgresServer::send(const core::SendProbe& action) {
+  const auto channel = find_channel(action.channel);
+  return channel->send(channel->protocol().probe());
 }
 
-void Manager::carry_out(const core::CancelOnEngine& effect) {
-  const auto link = find_link(effect.link);
-  spawn(io_, cancel_on(link->at(), link->protocol().key()));
+void PostgresServer::execute(const core::CancelOnEngine& action) {
+  const auto channel = find_channel(action.channel);
+  spawn(io_, cancel_on(channel->at(), channel->protocol().key()));
 }
 
-void Manager::carry_out(const core::ChangeTerms& effect) {
-  const auto link = find_link(effect.link);
-  std::string statement = "SELECT paddlestand.set_terms(" + std::to_string(link->protocol().key().process) +
-                          ", " + std::to_string(effect.priority) + ", " + std::to_string(effect.memory_mb) +
-                          ")";
-  link->terms_change_begins();
-  spawn(io_, change_terms(link, std::move(statement)));
+void PostgresServer::execute(const core::UpdateResourceGrant& action) {
+  const auto channel = find_channel(action.channel);
+  std::string statement = "SELECT paddlestand.set_terms(" +
+                          std::to_string(channel->protocol().key().process) + ", " +
+                          std::to_string(action.priority) + ", " + std::to_string(action.memory_mb) + ")";
+  channel->terms_change_begins();
+  spawn(io_, change_terms(channel, std::move(statement)));
 }
 
-void Manager::carry_out(const core::CloseLink& effect) {
-  const auto link = find_link(effect.link);
-  link->close();
-  links_.erase(effect.link);
+void PostgresServer::execute(const core::CloseChannel& action) {
+  const auto channel = find_channel(action.channel);
+  channel->close();
+  channels_.erase(action.channel);
 }
 
-void Manager::carry_out(const core::Deliver& effect) {
-  const auto link = find_link(effect.link);
-  const auto session = find_session(effect.session);
-  link->taken();
-  if (session) session->deliver(link->protocol().answer(), link->protocol().mid_message());
+void PostgresServer::execute(const core::Deliver& action) {
+  const auto channel = find_channel(action.channel);
+  const auto session = find_session(action.session);
+  channel->taken();
+  if (session) session->deliver(channel->protocol().answer(), channel->protocol().mid_message());
 }
 
-void Manager::carry_out(const core::Discard& effect) {
-  const auto link = find_link(effect.link);
-  link->taken();
-  link->protocol().answer().clear();
+void PostgresServer::execute(const core::Discard& action) {
+  const auto channel = find_channel(action.channel);
+  channel->taken();
+  channel->protocol().answer().clear();
 }
 
-void Manager::carry_out(const core::PauseLink& effect) { find_link(effect.link)->pause(); }
-void Manager::carry_out(const core::ResumeLink& effect) { find_link(effect.link)->resume(); }
+void PostgresServer::execute(const core::PauseChannel& action) { find_channel(action.channel)->pause(); }
+void PostgresServer::execute(const core::ResumeChannel& action) { find_channel(action.channel)->resume(); }
 
-void Manager::carry_out(const core::Answer& effect) {
-  queries_.erase(effect.query);
-  log_.answer(effect, config_.core.module.classes[effect.class_index].name);
-  if (const auto session = find_session(effect.session))
-    session->answered(effect, current_end_ ? &*current_end_ : nullptr);
+void PostgresServer::execute(const core::Answer& action) {
+  queries_.erase(action.query);
+  log_.answer(action, config_.core.module.classes[action.class_index].name);
+  if (const auto session = find_session(action.session))
+    session->answered(action, current_end_ ? &*current_end_ : nullptr);
 }
 
-void Manager::carry_out(const core::Left&) {
+void PostgresServer::execute(const core::ShutdownComplete&) {
   log_.info("left", "nothing is held any more");
   // Last answers were handed to the sockets; a client that does not read them is not waited for long.
   auto timer = std::make_shared<asio::steady_timer>(io_, last_answers_time);
@@ -175,7 +176,7 @@
 
 // ---- Sessions ----
 
-void Manager::take(tcp::socket socket) {
+void PostgresServer::take(tcp::socket socket) {
   const bool full = sessions_.size() >= config_.listen.most_sessions;
   if (leaving_ || full) {
     // A flood of them is closed without a word, so that saying so takes no room of its own.
@@ -189,12 +190,12 @@
   }
   const core::SessionId id = ++last_session_;
   const pg::CancelKey key{static_cast<std::uint32_t>(id & 0x7fffffffU), random_number()};
-  const auto session = std::make_shared<Session>(*this, std::move(socket), id, key);
+  const auto session = std::make_shared<ClientSession>(*this, std::move(socket), id, key);
   sessions_.emplace(id, session);
   session->start();
 }
 
-asio::awaitable<void> Manager::turn_away(StreamSocket socket, pg::Fields fields) {
+asio::awaitable<void> PostgresServer::turn_away(StreamSocket socket, pg::Fields fields) {
   std::string bytes;
   pg::put_error(bytes, fields);
   for (int tries = 0; tries < most_farewell_tries && !bytes.empty(); ++tries) {
@@ -208,26 +209,26 @@
   --turned_away_;
 }
 
-void Manager::linger(StreamSocket socket) {
+void PostgresServer::linger(StreamSocket socket) {
   if (lingering_ >= most_lingering) return;  // it is closed here
   ++lingering_;
   spawn(io_, linger_counted(std::move(socket)));
 }
 
-asio::awaitable<void> Manager::linger_counted(StreamSocket socket) {
+asio::awaitable<void> PostgresServer::linger_counted(StreamSocket socket) {
   co_await linger_and_close(std::move(socket));
   --lingering_;
 }
 
-void Manager::session_gone(core::SessionId id) { sessions_.erase(id); }
+void PostgresServer::session_gone(core::SessionId id) { sessions_.erase(id); }
 
-void Manager::ask(const std::shared_ptr<Session>& session, pg::FrontRequest request) {
+void PostgresServer::ask(const std::shared_ptr<ClientSession>& session, pg::FrontendRequest request) {
   core::RequestFacts facts;
   facts.user = session->front().user();
   facts.database = session->front().database();
   facts.application = session->front().application();
   facts.statement = request.text;
-  facts.time_out = request.statement_timeout;
+  facts.timeout = request.statement_timeout;
   facts.tags = std::move(request.tags);
   auto classed = classifier_.classify(facts);
   if (const auto* problem = std::get_if<core::Problem>(&classed)) {
@@ -239,26 +240,26 @@
   arrived.query = ++last_query_;
   session->request_ = std::move(request.query);
   queries_.emplace(arrived.query, session->id());
-  tell(arrived);
+  dispatch(arrived);
 }
 
-void Manager::cancel_session(pg::CancelKey key) {
+void PostgresServer::cancel_session(pg::CancelKey key) {
   // Processes are numbered by sessions, which are never numbered twice within two thousand million.
   for (const std::uint64_t high : {std::uint64_t{0}, last_session_ & ~std::uint64_t{0x7fffffff}}) {
     const auto session = find_session(high | key.process);
-    if (session && session->key() == key) return tell(core::CancelAsked{session->id()});
+    if (session && session->key() == key) return dispatch(core::ClientCancelled{session->id()});
   }
   log_.info("cancel", "a cancel with a key of no session");
 }
 
-asio::awaitable<void> Manager::sweep() {
+asio::awaitable<void> PostgresServer::sweep() {
   asio::steady_timer timer(io_);
   for (;;) {
     timer.expires_after(sweep_period);
     error_code error;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     if (error || stopped_) co_return;
-    std::vector<std::shared_ptr<Session>> all;
+    std::vector<std::shared_ptr<ClientSession>> all;
     all.reserve(sessions_.size());
     for (const auto& [id, session] : sessions_) all.push_back(session);
     const auto at = steady_clock::now();
@@ -268,7 +269,7 @@
 
 // ---- Engines ----
 
-asio::awaitable<void> Manager::cancel_on(tcp::endpoint at, pg::CancelKey key) {
+asio::awaitable<void> PostgresServer::cancel_on(tcp::endpoint at, pg::CancelKey key) {
   const auto cancel = [&]() -> asio::awaitable<void> {
     error_code error;
     tcp::socket socket(io_);
@@ -285,14 +286,14 @@
   co_await (cancel() || limit.async_wait(asio::redirect_error(asio::use_awaitable, ignored)));
 }
 
-asio::awaitable<void> Manager::change_terms(std::shared_ptr<Link> of, std::string statement) {
+asio::awaitable<void> PostgresServer::change_terms(std::shared_ptr<EngineChannel> of, std::string statement) {
   const auto change = [&]() -> asio::awaitable<void> {
     error_code error;
     tcp::socket socket(io_);
     co_await socket.async_connect(of->at(), asio::redirect_error(asio::use_awaitable, error));
-    pg::EngineLink link;
-    std::string out = link.start(engine_login());
-    std::vector<pg::LinkEvent> events;
+    pg::BackendConnection channel;
+    std::string out = channel.start(engine_login());
+    std::vector<pg::BackendEvent> events;
     std::vector<char> buffer(4096);
     while (!error) {
       co_await asio::async_write(socket, asio::buffer(out), asio::redirect_error(asio::use_awaitable, error));
@@ -302,13 +303,13 @@
           asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, error));
       if (error) co_return;
       events.clear();
-      link.feed({buffer.data(), got}, events, out);
-      for (const pg::LinkEvent& event : events) {
-        if (std::holds_alternative<pg::LinkAnswerEnd>(event)) of->terms_change_ended();
-        if (!std::holds_alternative<pg::LinkReady>(event)) co_return;
+      channel.feed({buffer.data(), got}, events, out);
+      for (const pg::BackendEvent& event : events) {
+        if (std::holds_alternative<pg::BackendAnswerEnd>(event)) of->terms_change_ended();
+        if (!std::holds_alternative<pg::BackendReady>(event)) co_return;
         pg::EngineQuery query;
         pg::put_query(query.bytes, statement);
-        out += link.flight(query, 3, 0);
+        out += channel.flight(query, 3, 0);
       }
     }
   };
@@ -317,9 +318,9 @@
   co_await (change() || limit.async_wait(asio::redirect_error(asio::use_awaitable, ignored)));
 }
 
-void Manager::use_engines(const std::vector<config::ListedEngine>& engines) {
-  core::FleetTold told;
-  told.scope = FleetScope::full;
+void PostgresServer::use_engines(const std::vector<config::ListedEngine>& engines) {
+  core::EndpointsUpdated told;
+  told.scope = EndpointUpdate::full;
   for (const config::ListedEngine& one : engines) {
     error_code error;
     const auto address = asio::ip::make_address(one.at.address, error);
@@ -334,10 +335,10 @@
   }
   engine_starts_.map(now(), told.engines);
   engine_starts_.first_list_ends();
-  tell(std::move(told));
+  dispatch(std::move(told));
 }
 
-asio::awaitable<void> Manager::watch_engines() {
+asio::awaitable<void> PostgresServer::watch_engines() {
   struct Stamp {
     timespec changed{};
     off_t size = -1;
@@ -379,7 +380,7 @@
 
 // ---- Signals ----
 
-asio::awaitable<void> Manager::watch_signals() {
+asio::awaitable<void> PostgresServer::watch_signals() {
   std::uint32_t interrupts = 0;
   while (!stopped_) {
     co_await pause_for(io_, signal_period);
@@ -393,7 +394,7 @@
 }
 
 // The file may be half written, or the disk may fail for a moment.
-void Manager::reload_again_soon(const std::string& why) {
+void PostgresServer::reload_again_soon(const std::string& why) {
   if (reload_tries_ == 0) log_.error("reload", why + "; nothing is changed, it is read again for a while");
   if (++reload_tries_ > most_reload_tries) {
     reload_tries_ = 0;
@@ -405,7 +406,7 @@
   });
 }
 
-void Manager::reload() {
+void PostgresServer::reload() {
   auto read = config::read_manager_config(config_path_);
   if (const auto* fault = std::get_if<config::Fault>(&read)) return reload_again_soon(fault->text());
   reload_tries_ = 0;
@@ -422,22 +423,22 @@
   log_.info("reload", "engines, rules and log level are as in " + config_path_);
 }
 
-void Manager::close_connections() {
+void PostgresServer::close_connections() {
   stop();
-  std::vector<std::shared_ptr<Session>> all;
+  std::vector<std::shared_ptr<ClientSession>> all;
   for (const auto& [id, session] : sessions_) all.push_back(session);
   for (const auto& session : all) session->close();
 }
 
-void Manager::leave() {
+void PostgresServer::leave() {
   if (leaving_) return;
   leaving_ = true;
   listener_.close_when_drained();
   log_.info("leave", "answering what is held");
-  std::vector<std::shared_ptr<Session>> all;
+  std::vector<std::shared_ptr<ClientSession>> all;
   for (const auto& [id, session] : sessions_) all.push_back(session);
   for (const auto& session : all) session->leave();
-  tell(core::Leave{config_.leave_grace});
+  dispatch(core::BeginShutdown{config_.leave_grace});
   // Attempts that an engine neither ends nor stops are not waited for beyond this.
   auto timer = std::make_shared<asio::steady_timer>(
       io_, config_.leave_grace + config_.core.cancel_grace + std::chrono::seconds(1));
--- a/src/service/users.hpp
+++ b/src/service/users.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "config/manager_config.hpp"
-#include "protocol/pg/front.hpp"
+#include "protocol/pg/frontend_session.hpp"
 
 namespace paddlestand::service {
 
--- a/src/workload_manager.cpp
+++ b/src/workload_manager.cpp
@@ -150,7 +150,7 @@
 
 struct PeerNews {
   double at = 0;
-  std::vector<ToldAttempt> out;
+  std::vector<GossipEntry> out;
 };
 
 }  // namespace
@@ -163,7 +163,7 @@
         classes_(s_.classes.size()) {
     instances_ = std::max(1.0, static_cast<double>(s_.instances));
     random_.seed(s_.seed);
-    if (s_.may_tell_peers) peers_.resize(std::min<std::size_t>(s_.instances, 65536));
+    if (s_.may_gossip) peers_.resize(std::min<std::size_t>(s_.instances, 65536));
     for (std::size_t i = 0; i < s_.tenants.size(); ++i) tenant_tokens_.push_back(quota_depth(i));
     end_margin_ = end_margin_steps * std::max(seconds(s_.clock_step), 1e-3);
   }
@@ -174,7 +174,7 @@
       started_ = true;
       origin_ = now;
       next_period_ = period;
-      if (s_.fleet_by_request) act(SubscribeFleet{});
+      if (s_.endpoints_on_subscription) act(SubscribeEndpoints{});
       set_timer(watch_period);
     }
     now_ = seconds(now - origin_);
@@ -201,7 +201,7 @@
   }
   double aim_of(const Request& r) const {
     const ClassSettings& k = s_.classes[r.cls];
-    return seconds(k.aim) + k.aim_stretch * cost_of(r) / k.threads;
+    return seconds(k.latency_objective) + k.objective_per_run_time * cost_of(r) / k.threads;
   }
 
   void set_bounds() {
@@ -210,10 +210,10 @@
       double oldest = now_, newest = -1, mix = 0, present = 0, late_sum = 0, late = 0;
       for (const auto& [id, r] : requests_) {
         if (r.cls != i || r.over || !is_next(r)) continue;
-        const double aim = aim_of(r);
-        mix += aim;
+        const double latency_objective = aim_of(r);
+        mix += latency_objective;
         present += 1;
-        if (now_ - r.turn > aim) {
+        if (now_ - r.turn > latency_objective) {
           // Work on a hung engine never finishes: its age belongs in the latency, or all would look calm.
           late_sum += now_ - r.turn;
           late += 1;
@@ -231,13 +231,14 @@
       c.rate = weight > 0 ? c.rate + weight * (c.finish_rate - c.rate) : c.rate * rate_forget;
       if (present == 0 && c.answers == 0 && !c.asked) c.b_delta = c.last_error = 0;
       const ClassSettings& k = s_.classes[i];
-      const double usual_aim = seconds(k.aim) + k.aim_stretch * c.mean_cost * c.bias / k.threads;
-      const double aim = headroom * (present > 0 ? mix / present : usual_aim);
+      const double usual_aim =
+          seconds(k.latency_objective) + k.objective_per_run_time * c.mean_cost * c.bias / k.threads;
+      const double latency_objective = headroom * (present > 0 ? mix / present : usual_aim);
       // The ceiling: what drains within the aim; one rare heavy query must not allow a queue of many aims.
-      const double max_data = std::min(queue_limit * std::max(c.largest, 1e-3), c.rate * aim);
-      const double b_f = 2 * c.rate * (aim - now_ + (oldest + newest) / 2) - c.running;
+      const double max_data = std::min(queue_limit * std::max(c.largest, 1e-3), c.rate * latency_objective);
+      const double b_f = 2 * c.rate * (latency_objective - now_ + (oldest + newest) / 2) - c.running;
       if (c.answers + late > 0) {
-        const double error = aim - (c.latency_sum + late_sum) / (c.answers + late);
+        const double error = latency_objective - (c.latency_sum + late_sum) / (c.answers + late);
         c.b_delta += gain_scale * c.finish_rate * k_p * ((k_i + 1) * error - c.last_error);
         c.last_error = error;
       }
@@ -268,7 +269,7 @@
     const std::uint8_t lane = priority_of(r);
     double sum = 0;
     for (std::uint8_t i = 0; i < 4; ++i)
-      sum += threads_out_[i] * (s_.priorities_heeded && i < lane ? std::pow(lane_ratio, i - lane) : 1);
+      sum += threads_out_[i] * (s_.engines_honor_priorities && i < lane ? std::pow(lane_ratio, i - lane) : 1);
     return sum;
   }
 
@@ -332,9 +333,9 @@
     classes_[r.cls].running += a.base * k.threads;
     if (k.writes_tables) ++e.writers[r.tables];
     r.attempts.push_back(a);
-    if (s_.priorities_heeded || s_.grants_heeded) {
-      const double spare = s_.when_memory_short == Shortage::overcommit ? unused_grant : 1;
-      act(SetTerms{r.id, a.lane, s_.grants_heeded ? a.memory * spare : 0.0});
+    if (s_.engines_honor_priorities || s_.engines_honor_grants) {
+      const double spare = s_.memory_shortage == MemoryShortage::overcommit ? unused_grant : 1;
+      act(SetResourceGrant{r.id, a.lane, s_.engines_honor_grants ? a.memory * spare : 0.0});
     }
     act(Send{r.id, e.entry.engine, duration(r.deadline - end_margin_ - now_)});
   }
@@ -368,14 +369,14 @@
     if (r.over) return;
     unhold(r);
     cancel_all(r);
-    may_refuse(r) ? act(Refuse{r.id, retry_advice(r)}) : act(Fail{r.id});
+    may_refuse(r) ? act(Reject{r.id, retry_advice(r)}) : act(Fail{r.id});
     close_request(r);
   }
 
   Duration retry_advice(const Request& r) const {
     if (!s_.may_advise_retry) return {};
     const double wait = period / 2 + classes_[r.cls].queued / std::max(classes_[r.cls].rate, 1e-3);
-    return std::min(s_.longest_retry_advice, duration(wait));
+    return std::min(s_.max_retry_after, duration(wait));
   }
 
   void close_request(Request& r) {
@@ -438,12 +439,12 @@
   }
 
   // Engines are ever new in long service: one that left, of which nothing is out and nothing seen any more.
-  void forget_gone() {
+  void forget_removed() {
     std::set<EngineId> named;
     for (const auto& [id, r] : requests_)
       for (const Attempt& a : r.attempts) named.insert(a.engine);
     for (const PeerNews& peer : peers_)
-      for (const ToldAttempt& q : peer.out) named.insert(q.engine);
+      for (const GossipEntry& q : peer.out) named.insert(q.engine);
     std::erase_if(engines_, [&](const auto& one) {
       const Engine& e = one.second;
       const double seen = std::max({e.judged_at, e.last_answer, e.cold_until});
@@ -522,7 +523,7 @@
   bool overdue(const Request& r, const Attempt& a) const {
     const double expected = expected_run(r, a), age = now_ - a.sent;
     if (a.heard >= 0) {
-      if (now_ - a.heard > note_gap * seconds(s_.note_period)) return true;
+      if (now_ - a.heard > note_gap * seconds(s_.progress_report_period)) return true;
       const double whole = (a.share_at - a.sent) / std::max(a.share, 1e-3);
       return a.share > 0 && whole > plan_times * expected && whole - age > expected;
     }
@@ -557,20 +558,20 @@
 
   // What the engine will grant: where that is heeded, the estimate corrected by what answers told.
   double granted(const Request& r) const {
-    const double corrected = s_.grants_heeded ? classes_[r.cls].memory_bias : 1.0;
+    const double corrected = s_.engines_honor_grants ? classes_[r.cls].memory_bias : 1.0;
     return usable(r.memory, 0.0) * corrected * memory_quarter;
   }
 
-  double worth_of(std::size_t cls) const { return usable(s_.classes[cls].worth, 1e-3); }
+  double worth_of(std::size_t cls) const { return usable(s_.classes[cls].priority_weight, 1e-3); }
 
   struct Mix {
-    double requests = 0, worth = 0, work = 0;
+    double requests = 0, priority_weight = 0, work = 0;
   };
   Mix mix() const {
     Mix m;
     for (std::size_t i = 0; i < classes_.size(); ++i) {
       m.requests += classes_[i].arrivals;
-      m.worth += classes_[i].arrivals * worth_of(i);
+      m.priority_weight += classes_[i].arrivals * worth_of(i);
       m.work += classes_[i].arrivals * classes_[i].mean_cost * classes_[i].bias;
     }
     return m;
@@ -578,14 +579,14 @@
 
   double worth_share(std::uint32_t cls) const {  // of a mean request's worth
     const Mix m = mix();
-    return worth_of(cls) * std::max(m.requests, 1.0) / std::max(m.worth, 1e-3);
+    return worth_of(cls) * std::max(m.requests, 1.0) / std::max(m.priority_weight, 1e-3);
   }
 
   // Is a query of this class worth the messages that tell all peers of its start and its end? Where it waits
   // in line for memory, an engine that too many chose harms none but itself: no news was worth its price.
   bool worth_news(std::uint32_t cls) const {
-    const double price = s_.tell_price * 4 * s_.told_attempt_bytes * (instances_ - 1) / 256;
-    return s_.may_tell_peers && s_.when_memory_short != Shortage::wait_in_line &&
+    const double price = s_.gossip_price * 4 * s_.gossip_entry_bytes * (instances_ - 1) / 256;
+    return s_.may_gossip && s_.memory_shortage != MemoryShortage::queue &&
            price <= news_worth * worth_share(cls);
   }
 
@@ -594,7 +595,7 @@
     news_tokens_ = std::min(news_most, news_tokens_ + news_rate / instances_ * (now_ - news_seen_));
     news_seen_ = now_;
     if (news_tokens_ < 1 || now_ < news_at_) return;
-    std::vector<ToldAttempt> news;
+    std::vector<GossipEntry> news;
     for (const auto& [id, r] : requests_)
       for (const Attempt& a : r.attempts) {
         const double memory = engines_.at(a.engine).size;
@@ -603,11 +604,11 @@
       }
     news_tokens_ -= 1;
     news_at_ = news.empty() ? 1e9 : now_ + news_period;
-    act(TellPeers{std::move(news)});
+    act(SendGossip{std::move(news)});
   }
 
   void hear(const PeerNews& peer, double sign) {
-    for (const ToldAttempt& q : peer.out) {
+    for (const GossipEntry& q : peer.out) {
       Engine& e = engines_.at(q.engine);  // known, or it was passed over when it was heard
       e.told_threads += sign * q.threads;
       e.told_memory += sign * q.memory_share * e.size;
@@ -615,7 +616,7 @@
   }
 
   bool memory_allows(const Request& r) const {
-    if (s_.when_memory_short == Shortage::wait_in_line || classes_[r.cls].told) return true;
+    if (s_.memory_shortage == MemoryShortage::queue || classes_[r.cls].told) return true;
     const double own = granted(r);
     return untold_memory_ <= 0 ||
            untold_memory_ + own <= memory_bound_ + memory_margin * std::sqrt(memory_bound_ * own);
@@ -639,12 +640,12 @@
   std::uint8_t priority_of(const Request& r) const {
     const Mix m = mix();
     if (r.over_share || now_ > r.arrived + aim_of(r)) return 0;
-    const double against = worth_of(r.cls) / cost_of(r) * m.work / std::max(m.worth, 1e-6);
+    const double against = worth_of(r.cls) / cost_of(r) * m.work / std::max(m.priority_weight, 1e-6);
     return against > 2 ? 3 : against > 0.7 ? 2 : against > 0.25 ? 1 : 0;
   }
 
   double bound_of(const Engine& e) const {
-    const double part = now_ < e.cold_until ? std::clamp(s_.cold_share, 0.1, 1.0) : 1.0;
+    const double part = now_ < e.cold_until ? std::clamp(s_.slow_start_capacity_share, 0.1, 1.0) : 1.0;
     return e.cores * crowd * part / instances_;
   }
 
@@ -670,7 +671,7 @@
     const ClassSettings& k = s_.classes[r.cls];
     const double done = now_ + cost_of(r) / k.threads;
     if (done > r.deadline - end_margin_) return true;
-    return done > r.arrived + aim_of(r) && (k.late_worth <= 0 || pressed(r));
+    return done > r.arrived + aim_of(r) && (k.late_answer_weight <= 0 || pressed(r));
   }
 
   // The engine that holds fewest of ours, in threads a core, among those where the request may go and fits.
@@ -682,14 +683,14 @@
     // All managers hear the same of told queries: what they do not tell would all go where these are fewest.
     const bool herded = !classes_[r.cls].told;
     // Leaving the zone has its price. Weighed by chance: all that see the same must not leave at once.
-    const double leave = doubt_weight * s_.zone_price / worth_share(r.cls);
+    const double leave = doubt_weight * s_.cross_zone_price / worth_share(r.cls);
     const double by_zone = 2 * zone_weight * std::generate_canonical<double, 32>(random_);
     Engine* best = nullptr;
     double best_load = 0;
     for (auto& [id, e] : engines_) {
       if (!may_send(r, e) || e.health == Health::shunned || now_ < e.full_until) continue;
       const bool trial = e.health == Health::trial;
-      if (trial && (e.queries > 0 || k.repeat != Repeat::safe)) continue;
+      if (trial && (e.queries > 0 || k.repeat != Idempotency::idempotent)) continue;
       const double bound = bound_of(e);
       if (e.threads > 0 && e.threads + k.threads > bound) continue;
       if (!has_room(r, e)) continue;
@@ -739,9 +740,9 @@
   }
 
   bool within_budget(const Request& r) const {
-    if (r.attempts.empty() || !s_.attempt_budget) return true;
-    const AttemptBudget& b = *s_.attempt_budget;
-    const double window = seconds(b.window), edge = budget_edge + seconds(s_.send_delay);
+    if (r.attempts.empty() || !s_.retry_budget) return true;
+    const RetryBudgetSettings& b = *s_.retry_budget;
+    const double window = seconds(b.window), edge = budget_edge + seconds(s_.max_send_delay);
     const auto from = std::lower_bound(further_.begin(), further_.end(), now_ - window - edge);
     const auto made = static_cast<double>(further_.end() - from);
     return made + 1 <= b.floor + b.share * taken_lately(window - edge);
@@ -750,15 +751,16 @@
   // A repeat of what may have run: only safe classes, or keyed ones where and while the engines drop repeats.
   bool effect_allows(const Request& r, const Engine& e) const {
     const ClassSettings& k = s_.classes[r.cls];
-    if (k.repeat == Repeat::safe) return true;
+    if (k.repeat == Idempotency::idempotent) return true;
     const auto first =
         std::find_if(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
     if (first == r.attempts.end()) return true;
-    const double known = seconds(k.key_window) - seconds(s_.send_delay) - 2 * end_margin_;
-    if (k.repeat == Repeat::unsafe || now_ > first->sent + known) return false;
+    const double known = seconds(k.idempotency_window) - seconds(s_.max_send_delay) - 2 * end_margin_;
+    if (k.repeat == Idempotency::non_idempotent || now_ > first->sent + known) return false;
     const EngineEntry& then = engines_.at(first->engine).entry;
-    if (k.key_scope == KeyScope::all) return true;
-    return then.zone == e.entry.zone && (k.key_scope == KeyScope::zone || then.cell == e.entry.cell);
+    if (k.idempotency_scope == IdempotencyScope::all) return true;
+    return then.zone == e.entry.zone &&
+           (k.idempotency_scope == IdempotencyScope::zone || then.cell == e.entry.cell);
   }
 
   bool placement_allows(const Request& r, const Engine& e) const {
@@ -772,11 +774,12 @@
   // This instance's part of what a cold engine can take in any fall window.
   bool cold_allows(const Request& r, const Engine& e) const {
     if (now_ >= e.cold_until) return true;
-    const double window = std::max(seconds(s_.fall_window), 1e-3);
+    const double window = std::max(seconds(s_.overload_window), 1e-3);
     if (now_ < window) return false;  // what an earlier start of this instance sent is not known
     double sent = cold_work(r);
     for (const auto& [at, work] : e.cold_sends) sent += at > now_ - 1.05 * window ? work : 0.0;
-    return sent <= cold_part(e, cold_caution * s_.fall_multiple * busy_at_capacity * s_.cold_share * window);
+    return sent <= cold_part(e, cold_caution * s_.overload_multiple * busy_at_capacity *
+                                    s_.slow_start_capacity_share * window);
   }
 
   // With many managers an even part is less than one query, so a few take whole parts: those whose position
@@ -785,14 +788,14 @@
     const double budget = e.cores * budget_a_core;
     const double users = std::clamp(std::floor(budget / cold_unit), 1.0, instances_);
     const double place =
-        std::fmod(static_cast<double>(e.entry.engine % 65521U) * 7919.0 + s_.position, instances_);
-    return s_.position < instances_ && place < users ? budget / users : 0.0;
+        std::fmod(static_cast<double>(e.entry.engine % 65521U) * 7919.0 + s_.instance_index, instances_);
+    return s_.instance_index < instances_ && place < users ? budget / users : 0.0;
   }
 
   // May this attempt be sent now? Every send passes here.
   bool may_send(const Request& r, const Engine& e) const {
     if (r.over || r.begun || r.attempt_out() || now_ >= r.deadline - end_margin_) return false;
-    if (!r.attempts.empty() && r.attempts.size() >= s_.most_attempts) return false;
+    if (!r.attempts.empty() && r.attempts.size() >= s_.max_attempts) return false;
     return e.ready() && placement_allows(r, e) && effect_allows(r, e) && has_turn(r) && within_budget(r) &&
            cold_allows(r, e);
   }
@@ -800,14 +803,16 @@
   // May this be refused? Every refusal passes here.
   bool may_refuse(const Request& r) const {
     const ClassSettings& k = s_.classes[r.cls];
-    if (k.repeat == Repeat::safe || (k.repeat == Repeat::keyed && k.key_scope == KeyScope::all)) return true;
+    if (k.repeat == Idempotency::idempotent ||
+        (k.repeat == Idempotency::idempotent_with_key && k.idempotency_scope == IdempotencyScope::all))
+      return true;
     return std::none_of(r.attempts.begin(), r.attempts.end(),
                         [](const Attempt& a) { return a.out || a.may_have_run; });
   }
 
   // Could a further attempt be made at all, once the present one has ended in doubt?
   bool may_go_on(const Request& r) const {
-    if (r.begun || r.attempts.size() >= s_.most_attempts || hopeless(r) || !within_budget(r)) return false;
+    if (r.begun || r.attempts.size() >= s_.max_attempts || hopeless(r) || !within_budget(r)) return false;
     return std::any_of(engines_.begin(), engines_.end(), [&](const auto& e) {
       return placement_allows(r, e.second) && effect_allows(r, e.second);
     });
@@ -815,22 +820,22 @@
 
   // ---- 7. Event handlers ----
 
-  void on(const FleetChanged& event) {
-    if (event.scope == FleetScope::failed) return void(resubscribe_at_ = now_ + period);
-    if (event.scope != FleetScope::delta)
+  void on(const EndpointsChanged& event) {
+    if (event.scope == EndpointUpdate::failed) return void(resubscribe_at_ = now_ + period);
+    if (event.scope != EndpointUpdate::delta)
       for (auto& [id, e] : engines_) e.listed = false;
     for (const EngineEntry& entry : event.engines) {
       const auto [place, fresh] = engines_.try_emplace(entry.engine);
       Engine& e = place->second;
-      const bool returned = e.entry.state == EngineState::gone && entry.state != EngineState::gone;
+      const bool returned = e.entry.state == EngineState::removed && entry.state != EngineState::removed;
       const bool restarted = !fresh && (returned || entry.started > e.entry.started);
       e.entry = entry;
-      e.listed = entry.state != EngineState::gone;
+      e.listed = entry.state != EngineState::removed;
       const bool known = entry.kind < s_.kinds.size();
       e.cores = known ? usable(s_.kinds[entry.kind].cores, 1.0) : 1.0;
       e.size = known ? usable(s_.kinds[entry.kind].memory_mb, 0.0) : 0.0;
       if (entry.started.count() > 0) {
-        const double warm_at = seconds(entry.started - origin_) + seconds(s_.cold_time);
+        const double warm_at = seconds(entry.started - origin_) + seconds(s_.slow_start_duration);
         if (warm_at > now_) e.cold_until = std::max(e.cold_until, warm_at);
       }
       if (restarted) {
@@ -840,9 +845,9 @@
         disown_attempts(entry.engine);
       }
     }
-    if (event.scope != FleetScope::delta)
+    if (event.scope != EndpointUpdate::delta)
       for (auto& [id, e] : engines_)
-        if (!e.listed) e.entry.state = EngineState::gone;
+        if (!e.listed) e.entry.state = EngineState::removed;
     set_parts();
   }
 
@@ -858,24 +863,24 @@
     if (event.class_index >= classes_.size() || requests_.contains(event.request))
       return act(Fail{event.request});
     taken_.push_back(now_);
-    drop_older(taken_, 2 * cut_window + (s_.attempt_budget ? seconds(s_.attempt_budget->window) : 0.0));
+    drop_older(taken_, 2 * cut_window + (s_.retry_budget ? seconds(s_.retry_budget->window) : 0.0));
     ClassState& c = classes_[event.class_index];
     const ClassSettings& k = s_.classes[event.class_index];
     Request r;
     r.id = event.request, r.cls = event.class_index;
-    r.key = k.in_turn ? event.order_key : 0;
-    r.arrived = r.turn = now_, r.deadline = now_ + seconds(event.patience);
-    r.memory = event.told_memory_mb;
+    r.key = k.ordered_by_key ? event.ordering_key : 0;
+    r.arrived = r.turn = now_, r.deadline = now_ + seconds(event.client_timeout);
+    r.memory = event.estimated_memory_mb;
     r.tables = std::isfinite(event.tables) ? event.tables : 0.0;
-    r.cost_told = event.told_cost && event.told_cost->count() > 0;
-    r.told = r.cost_told ? seconds(*event.told_cost) : c.mean_cost;
+    r.cost_told = event.estimated_cost && event.estimated_cost->count() > 0;
+    r.told = r.cost_told ? seconds(*event.estimated_cost) : c.mean_cost;
     r.over_share = beyond_quota(event.tenant);
     if (r.cost_told) {
       c.arrivals += 1;
       c.mean_cost += std::max(learn_rate / 3, 1 / c.arrivals) * (r.told - c.mean_cost);
       // rho starts as the aim over the first told cost, shared by the ready engines (design page).
       const auto ready = std::max(1.0, ready_);
-      if (c.rate <= 0) c.rate = r.told * ready / std::max(seconds(k.aim), 1e-3);
+      if (c.rate <= 0) c.rate = r.told * ready / std::max(seconds(k.latency_objective), 1e-3);
     }
     c.asked = true, c.told = worth_news(r.cls);
     Request& kept = requests_.emplace(r.id, std::move(r)).first->second;
@@ -900,13 +905,16 @@
     if (!a.out) return;
     Engine& e = engines_.at(a.engine);
     end_attempt(r, a);
-    const Result how = event.result;
-    a.may_have_run = how != Result::full && how != Result::connect_failed && how != Result::moot;
-    if (how == Result::served) learn(r, a, event);
+    const AttemptResult how = event.result;
+    a.may_have_run = how != AttemptResult::rejected && how != AttemptResult::connect_failed &&
+                     how != AttemptResult::not_sent;
+    if (how == AttemptResult::served) learn(r, a, event);
     if (!a.of_earlier_process) judge(r, a, e, event);
-    if (r.key != 0 && (how == Result::timed_out || how == Result::reset || how == Result::cancelled))
-      rests_[r.key] = now_ + seconds(s_.order_settle) + (s_.order_settle.count() > 0 ? end_margin_ : 0.0);
-    if (event.request_over || how == Result::served) {
+    if (r.key != 0 &&
+        (how == AttemptResult::timed_out || how == AttemptResult::reset || how == AttemptResult::cancelled))
+      rests_[r.key] =
+          now_ + seconds(s_.ordering_settle_time) + (s_.ordering_settle_time.count() > 0 ? end_margin_ : 0.0);
+    if (event.request_over || how == AttemptResult::served) {
       close_request(r);
     } else if (r.over) {
       forget_if_done(r.id);
@@ -919,11 +927,11 @@
   void judge(const Request& r, Attempt& a, Engine& e, const AttemptEnded& event) {
     read_report(e, event.report);
     switch (event.result) {
-      case Result::served: return judge_served(e);
-      case Result::engine_error: return judge_error(r, a, e);
-      case Result::connect_failed:
-      case Result::reset: return judge_failed(e, "not reached");
-      case Result::full: e.full_until = now_ + full_rest; return;
+      case AttemptResult::served: return judge_served(e);
+      case AttemptResult::engine_error: return judge_error(r, a, e);
+      case AttemptResult::connect_failed:
+      case AttemptResult::reset: return judge_failed(e, "not reached");
+      case AttemptResult::rejected: e.full_until = now_ + full_rest; return;
       default: return;
     }
   }
@@ -956,7 +964,7 @@
     c.pace += std::max(pace_rate, 1 / (c.pace_samples + 1)) * (pace - c.pace);
   }
 
-  void on(const ClientLeft& event) {
+  void on(const RequestAbandoned& event) {
     const auto found = requests_.find(event.request);
     if (found == requests_.end() || found->second.over) return;
     Request& r = found->second;
@@ -973,15 +981,15 @@
     if (now_ >= next_period_) {
       next_period_ = now_ + period - watch_period / 2;
       set_bounds();
-      drop_older(further_, s_.attempt_budget ? 2 * seconds(s_.attempt_budget->window + s_.send_delay) : 0.0);
+      drop_older(further_, s_.retry_budget ? 2 * seconds(s_.retry_budget->window + s_.max_send_delay) : 0.0);
       std::erase_if(rests_, [&](const auto& rest) { return rest.second < now_; });
-      forget_gone();
+      forget_removed();
       for (auto& [id, e] : engines_)
         if (now_ >= e.cold_until) e.cold_sends.clear();
     }
-    if (resubscribe_at_ > 0 && now_ >= resubscribe_at_ && s_.fleet_by_request) {
+    if (resubscribe_at_ > 0 && now_ >= resubscribe_at_ && s_.endpoints_on_subscription) {
       resubscribe_at_ = 0;
-      act(SubscribeFleet{});
+      act(SubscribeEndpoints{});
     }
     watch();
   }
@@ -993,27 +1001,27 @@
     e.probing = false;
     read_report(e, event.report);
     if (e.health != Health::shunned) return;
-    event.result == Result::served ? void(e.health = Health::trial)
-                                   : void(e.shunned_until = now_ + shun_first);
+    event.result == AttemptResult::served ? void(e.health = Health::trial)
+                                          : void(e.shunned_until = now_ + shun_first);
   }
 
-  void on(const PeerMessage& event) {
-    if (event.author >= peers_.size() || event.author == s_.position) return;
+  void on(const GossipReceived& event) {
+    if (event.author >= peers_.size() || event.author == s_.instance_index) return;
     PeerNews& peer = peers_[event.author];
     hear(peer, -1);
     peer.at = now_;
     peer.out.clear();
-    for (const ToldAttempt& q : event.out)
+    for (const GossipEntry& q : event.out)
       if (engines_.contains(q.engine)) peer.out.push_back(q);
     hear(peer, 1);
   }
 
-  void on(const Note& event) {
+  void on(const ProgressReported& event) {
     const auto found = requests_.find(event.request);
     if (found == requests_.end() || event.attempt >= found->second.attempts.size()) return;
     Attempt& a = found->second.attempts[event.attempt];
     a.heard = now_;
-    if (event.kind != NoteKind::progress || !(event.level >= 0)) return;
+    if (event.kind != ProgressKind::progress || !(event.level >= 0)) return;
     a.share = std::clamp(event.level, 1e-3, 1.0);
     a.share_at = now_;
   }
@@ -1161,7 +1169,7 @@
   table(v, zone_load_, [&](std::uint32_t& zone, double& load) { whole(v, zone), v.number(load); });
   list(v, peers_, [&](PeerNews& peer) {
     v.since(peer.at);
-    list(v, peer.out, [&](ToldAttempt& q) {
+    list(v, peer.out, [&](GossipEntry& q) {
       named(v, Name::engine, q.engine);
       numbers(v, q.threads, q.memory_share);
     });
--- a/test_engine/main.cpp
+++ b/test_engine/main.cpp
@@ -12,7 +12,7 @@
 int main(int argc, char** argv) {
   using namespace paddlestand;
   CLI::App app{"A stand-in for an analytic engine, for tests and trials on loopback"};
-  standin::StandinSettings s;
+  test_engine::TestEngineSettings s;
   std::string port_file, shortage = "wait";
   app.add_option("--name", s.name, "Its name in its log");
   app.add_option("--port", s.port, "Port for queries; 0: any");
@@ -24,21 +24,21 @@
   app.add_option("--speed", s.shape.speed, "Of a core; 10: all work takes a tenth of its time");
   app.add_option("--most-jobs", s.shape.most_jobs);
   app.add_option("--memory-shortage", shortage)->check(CLI::IsMember({"wait", "spill", "page"}));
-  app.add_option("--cold-share", s.shape.cold_share);
-  app.add_option("--cold-time", s.shape.cold_time, "Seconds");
-  app.add_option("--fall-multiple", s.shape.fall_multiple);
-  app.add_option("--fall-window", s.shape.fall_window, "Seconds");
+  app.add_option("--cold-share", s.shape.slow_start_capacity_share);
+  app.add_option("--cold-time", s.shape.slow_start_duration, "Seconds");
+  app.add_option("--fall-multiple", s.shape.overload_multiple);
+  app.add_option("--fall-window", s.shape.overload_window, "Seconds");
   app.add_option("--note-period", s.note_period_s, "Seconds between notes of progress; 0: none");
   app.add_option("--seed", s.seed);
   app.add_flag("--cold", s.cold, "Begin cold");
   CLI11_PARSE(app, argc, argv);
-  s.shape.when_short = shortage == "wait"    ? lab::MemoryShort::wait_in_line
-                       : shortage == "spill" ? lab::MemoryShort::spill
-                                             : lab::MemoryShort::page;
+  s.shape.when_short = shortage == "wait"    ? simulation::MemoryShort::wait_in_line
+                       : shortage == "spill" ? simulation::MemoryShort::spill
+                                             : simulation::MemoryShort::page;
   signal(SIGPIPE, SIG_IGN);
   boost::asio::io_context io(1);
   try {
-    standin::Server server(io, s);
+    test_engine::Server server(io, s);
     server.start();
     if (!port_file.empty()) {
       const std::string fresh = port_file + ".new";
@@ -49,7 +49,7 @@
     signals.async_wait([&](const auto&, int) { io.stop(); });
     io.run();
   } catch (const std::exception& error) {
-    std::cerr << "paddlestand_standin: " << error.what() << "\n";
+    std::cerr << "paddlestand_test_engine: " << error.what() << "\n";
     return 1;
   }
   return 0;
--- a/test_engine/server.cpp
+++ b/test_engine/server.cpp
@@ -23,7 +23,7 @@
 #include "protocol/sql/scan.hpp"
 #include "protocol/sql/tags.hpp"
 
-namespace paddlestand::standin {
+namespace paddlestand::test_engine {
 namespace asio = boost::asio;
 using boost::system::error_code;
 using std::chrono::steady_clock;
@@ -45,7 +45,7 @@
 
 struct Wanted {  // by a query, in its tags
   std::string id;
-  lab::Job job;
+  simulation::Job job;
   std::size_t rows = 1, row_bytes = 8;
   std::map<std::string, std::string> tags;
 };
@@ -125,7 +125,7 @@
     wake_.cancel();
   }
 
-  void ended(const lab::JobEnd& end) {
+  void ended(const simulation::JobEnd& end) {
     end_ = end;
     job_ = 0;
     wake_.cancel();
@@ -331,9 +331,9 @@
     wanted_.job.priority = priority_;
     wanted_.job.granted_mb = memory_;
     switch (server_.model_.take(server_.now(), wanted_.job)) {
-      case lab::Taken::yes: break;
-      case lab::Taken::full: job_ = 0; return turn_away();
-      case lab::Taken::fell:
+      case simulation::Taken::yes: break;
+      case simulation::Taken::full: job_ = 0; return turn_away();
+      case simulation::Taken::fell:
         job_ = 0;
         server_.truth("fell", id_);
         return fail("57P02", "the engine fell over");
@@ -364,7 +364,7 @@
       cancelled_ = false;
       fail("57014", "canceling statement due to user request");
     } else {
-      const lab::JobEnd end = *end_;
+      const simulation::JobEnd end = *end_;
       end_.reset();
       server_.truth("applied", id_);
       if (server_.chance(troubles.lose)) {
@@ -436,16 +436,16 @@
   std::uint8_t priority_ = 1;
   double memory_ = 0;
   Wanted wanted_;
-  lab::JobId job_ = 0;
-  std::optional<lab::JobEnd> end_;
+  simulation::JobId job_ = 0;
+  std::optional<simulation::JobEnd> end_;
   bool busy_ = false, over_ = false, cancelled_ = false, skipping_ = false, extended_ = false,
        writing_ = false;
 };
 
-Server::Server(asio::io_context& io, StandinSettings settings)
+Server::Server(asio::io_context& io, TestEngineSettings settings)
     : io_(io),
       settings_(std::move(settings)),
-      model_(settings_.shape, settings_.cold ? now() : now() - settings_.shape.cold_time - 1),
+      model_(settings_.shape, settings_.cold ? now() : now() - settings_.shape.slow_start_duration - 1),
       control_acceptor_(io),
       timer_(io),
       random_(settings_.seed) {
@@ -545,7 +545,7 @@
 }
 
 void Server::finish_due() {
-  for (const lab::JobEnd& end : model_.advance(now())) {
+  for (const simulation::JobEnd& end : model_.advance(now())) {
     const auto found = jobs_.find(end.id);
     if (found == jobs_.end()) continue;
     const auto seat = found->second.lock();
@@ -661,4 +661,4 @@
   return "ok";
 }
 
-}  // namespace paddlestand::standin
+}  // namespace paddlestand::test_engine
--- a/test_engine/server.hpp
+++ b/test_engine/server.hpp
@@ -1,4 +1,4 @@
-// A stand-in for an engine: speaks the server's side of the protocol, runs queries as work on the engine
+// A test engine for an engine: speaks the server's side of the protocol, runs queries as work on the engine
 // model in real time, keeps a ground-truth log, and gets into trouble on command.
 //
 // What a query costs here is in its own tags, which a manager passes over: sim_id, sim_work_ms, sim_threads,
@@ -17,18 +17,18 @@
 #include <string>
 #include <vector>
 
-#include "lab/emulator/engine_model.hpp"
 #include "protocol/pg/messages.hpp"
+#include "simulation/engine_model/engine_model.hpp"
 
-namespace paddlestand::standin {
+namespace paddlestand::test_engine {
 
 using tcp = boost::asio::ip::tcp;
 
-struct StandinSettings {
+struct TestEngineSettings {
   std::string name = "engine";
   std::string address = "127.0.0.1";
   std::uint16_t port = 0, control_port = 0;
-  lab::EngineShape shape;
+  simulation::EngineShape shape;
   std::string truth_log;  // empty: none
   double report_period_s = 0;  // load is told as it was so long ago at the most; zero: as it is
   double note_period_s = 0;
@@ -40,7 +40,7 @@
 
 class Server {
  public:
-  Server(boost::asio::io_context& io, StandinSettings settings);
+  Server(boost::asio::io_context& io, TestEngineSettings settings);
   ~Server();
 
   void start();
@@ -73,17 +73,17 @@
   bool cancel(pg::CancelKey key);
 
   boost::asio::io_context& io_;
-  StandinSettings settings_;
-  lab::EngineModel model_;
+  TestEngineSettings settings_;
+  simulation::EngineModel model_;
   Troubles troubles_;
   std::unique_ptr<tcp::acceptor> acceptor_;
   tcp::acceptor control_acceptor_;
   std::uint16_t port_ = 0, control_port_ = 0;
   boost::asio::steady_timer timer_;
   std::map<std::uint32_t, std::weak_ptr<Seat>> seats_;  // by process number
-  std::map<lab::JobId, std::weak_ptr<Seat>> jobs_;
+  std::map<simulation::JobId, std::weak_ptr<Seat>> jobs_;
   std::vector<tcp::socket> unserved_;
-  lab::JobId last_job_ = 0;
+  simulation::JobId last_job_ = 0;
   std::uint32_t last_process_ = 0;
   std::mt19937_64 random_;
   std::FILE* log_ = nullptr;
@@ -94,4 +94,4 @@
 // The clock of all logs on one machine: nanoseconds.
 std::int64_t shared_clock();
 
-}  // namespace paddlestand::standin
+}  // namespace paddlestand::test_engine
--- a/tests/bench_adapter/wire_test.cpp
+++ b/tests/bench_adapter/wire_test.cpp
@@ -8,7 +8,7 @@
 #include "config/settings_parser.hpp"
 #include "wire_host.hpp"
 
-namespace paddlestand::wire {
+namespace paddlestand::bench_adapter {
 namespace {
 
 class Frame {
@@ -272,10 +272,10 @@
   ASSERT_TRUE(std::holds_alternative<config::ParsedSettings>(parsed));
   const Settings& s = std::get<config::ParsedSettings>(parsed).settings;
   ASSERT_EQ(s.classes.size(), 1U);
-  EXPECT_EQ(s.classes[0].aim, std::chrono::seconds(1));
-  EXPECT_EQ(s.classes[0].repeat, Repeat::safe);
-  EXPECT_EQ(s.most_attempts, 3U);
-  EXPECT_FALSE(s.attempt_budget.has_value());
+  EXPECT_EQ(s.classes[0].latency_objective, std::chrono::seconds(1));
+  EXPECT_EQ(s.classes[0].repeat, Idempotency::idempotent);
+  EXPECT_EQ(s.max_attempts, 3U);
+  EXPECT_FALSE(s.retry_budget.has_value());
   EXPECT_FALSE(s.classes[0].allowed_kinds.has_value());
 }
 
@@ -288,4 +288,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestand::wire
+}  // namespace paddlestand::bench_adapter
--- a/tests/clients/libpq_test.cpp
+++ b/tests/clients/libpq_test.cpp
@@ -1,10 +1,10 @@
-// An independent client of the protocol, libpq, through a real manager to a stand-in: what drivers do.
+// An independent client of the protocol, libpq, through a real manager to a test engine: what drivers do.
 #include <gtest/gtest.h>
 #include <libpq-fe.h>
 
 #include <memory>
 
-#include "../service/service_desk.hpp"
+#include "../service/service_harness.hpp"
 
 namespace paddlestand::service::test {
 namespace {
@@ -23,19 +23,19 @@
                                    std::to_string(engine_->port()) + R"("/></engines></manager>)";
           pg::Users users;
           users.trust = true;
-          return std::make_unique<Manager>(
+          return std::make_unique<PostgresServer>(
               io, std::get<config::ManagerConfig>(config::parse_manager_config(text, "test")), "", users, "");
         }) {}
 
   Connection connect(const std::string& more = "") {
-    const auto port = manager_.run([](Manager& m) { return m.port(); });
+    const auto port = manager_.run([](PostgresServer& m) { return m.port(); });
     const std::string text =
         "host=127.0.0.1 user=ann dbname=charts port=" + std::to_string(port) + " " + more;
     return {PQconnectdb(text.c_str()), PQfinish};
   }
 
   Engine engine_;
-  Thread<Manager> manager_;
+  Thread<PostgresServer> manager_;
 };
 
 TEST_F(Libpq, ConnectsAsksAndReadsErrors) {
@@ -93,8 +93,8 @@
 TEST_F(Libpq, CancelsWhatRuns) {
   const auto c = connect();
   ASSERT_EQ(PQsendQuery(c.get(), "select 1 /*sim_work_ms='60000'*/"), 1);
-  ASSERT_TRUE(
-      comes_true([&] { return manager_.run([](Manager& m) { return m.counts().attempts_out; }) == 1; }));
+  ASSERT_TRUE(comes_true(
+      [&] { return manager_.run([](PostgresServer& m) { return m.counts().attempts_out; }) == 1; }));
   PGcancel* cancel = PQgetCancel(c.get());
   char problem[256];
   EXPECT_EQ(PQcancel(cancel, problem, sizeof(problem)), 1) << problem;
--- a/tests/clients/pg.test.mjs
+++ b/tests/clients/pg.test.mjs
@@ -31,7 +31,7 @@
 }
 
 before(async () => {
-  start('paddlestand_standin', '--port-file', join(folder, 'engine'));
+  start('paddlestand_test_engine', '--port-file', join(folder, 'engine'));
   const engine = await portFrom(join(folder, 'engine'));
   writeFileSync(
     join(folder, 'manager.xml'),
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -38,10 +38,10 @@
   const auto read = parse_manager_config(manager(), "m.xml");
   ASSERT_TRUE(std::holds_alternative<ManagerConfig>(read)) << std::get<Fault>(read).text();
   const auto& config = std::get<ManagerConfig>(read);
-  EXPECT_EQ(config.core.module.classes[1].key_window, 25s);
+  EXPECT_EQ(config.core.module.classes[1].idempotency_window, 25s);
   EXPECT_EQ(config.core.module.classes[1].allowed_zones->at(0), 1U);
-  EXPECT_EQ(config.core.module.most_attempts, 3U);
-  EXPECT_EQ(config.core.module.attempt_budget->window, 5s);
+  EXPECT_EQ(config.core.module.max_attempts, 3U);
+  EXPECT_EQ(config.core.module.retry_budget->window, 5s);
   EXPECT_EQ(config.core.answer_buffer, 64U * 1024);
   EXPECT_EQ(config.listen.address, "127.0.0.1");
   EXPECT_EQ(config.engines.at(0).at.port, 7001);
@@ -108,9 +108,9 @@
   EXPECT_EQ(not_reloadable(a, same), "");
   const auto port = std::get<ManagerConfig>(parse_manager_config(manager("6432", "6433"), "m.xml"));
   EXPECT_EQ(not_reloadable(a, port), "listen");
-  const auto aim =
+  const auto latency_objective =
       std::get<ManagerConfig>(parse_manager_config(manager("aim=\"1s\"", "aim=\"2s\""), "m.xml"));
-  EXPECT_EQ(not_reloadable(a, aim), "class 'lookup'");
+  EXPECT_EQ(not_reloadable(a, latency_objective), "class 'lookup'");
 }
 
 TEST(Classifier, TagsFirstThenRulesThenTheRest) {
@@ -118,22 +118,23 @@
   const core::Classifier classifier(config.classifier, config.core.module);
   ASSERT_EQ(classifier.problem(), "");
   const auto classify = [&](const char* statement, std::vector<std::pair<std::string, std::string>> tags = {},
-                            std::optional<Duration> time_out = {}) {
+                            std::optional<Duration> timeout = {}) {
     core::RequestFacts facts;
     facts.statement = statement;
     facts.tags = std::move(tags);
-    facts.time_out = time_out;
+    facts.timeout = timeout;
     return classifier.classify(facts);
   };
   EXPECT_EQ(std::get<core::QueryArrived>(classify("INSERT into t")).class_index, 1U);
   EXPECT_EQ(std::get<core::QueryArrived>(classify("insert", {{"class", "lookup"}})).class_index, 0U);
-  EXPECT_EQ(std::get<core::QueryArrived>(classify("select")).patience, 5s);
-  EXPECT_EQ(std::get<core::QueryArrived>(classify("select", {}, 700ms)).patience, 700ms);
-  EXPECT_EQ(std::get<core::QueryArrived>(classify("select", {{"deadline_ms", "90"}}, 700ms)).patience, 90ms);
+  EXPECT_EQ(std::get<core::QueryArrived>(classify("select")).client_timeout, 5s);
+  EXPECT_EQ(std::get<core::QueryArrived>(classify("select", {}, 700ms)).client_timeout, 700ms);
+  EXPECT_EQ(std::get<core::QueryArrived>(classify("select", {{"deadline_ms", "90"}}, 700ms)).client_timeout,
+            90ms);
   const auto full = std::get<core::QueryArrived>(
       classify("select", {{"cost_ms", "12.5"}, {"key", "a"}, {"memory_mb", "3"}, {"repeat", "1"}}));
-  EXPECT_EQ(full.told_cost, 12500us);
-  EXPECT_EQ(full.order_key, core::key_of("a"));
+  EXPECT_EQ(full.estimated_cost, 12500us);
+  EXPECT_EQ(full.ordering_key, core::key_of("a"));
   EXPECT_TRUE(full.repeated);
   EXPECT_TRUE(std::holds_alternative<core::Problem>(classify("select", {{"class", "x"}})));
 }
--- a/tests/core/coordinator_harness.hpp
+++ b/tests/core/coordinator_harness.hpp
@@ -1,4 +1,4 @@
-// Drives a Conductor with scripted events, checks its ledger after each, and keeps what it did.
+// Drives a QueryCoordinator with scripted events, checks its ledger after each, and keeps what it did.
 #pragma once
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/conductor.hpp"
+#include "core/query_coordinator.hpp"
 
 namespace paddlestand::core::test {
 
@@ -18,37 +18,37 @@
   s.module.clock_step = 5ms;
   ClassSettings safe;
   safe.name = "lookup";
-  safe.aim = 1s;
-  safe.aim_stretch = 2;
+  safe.latency_objective = 1s;
+  safe.objective_per_run_time = 2;
   safe.deadline = 5s;
-  safe.worth = 1;
-  safe.late_worth = 0.5;
+  safe.priority_weight = 1;
+  safe.late_answer_weight = 0.5;
   safe.threads = 1;
   ClassSettings keyed = safe;
   keyed.name = "load";
-  keyed.repeat = Repeat::keyed;
-  keyed.key_window = 20s;
-  keyed.in_turn = true;
+  keyed.repeat = Idempotency::idempotent_with_key;
+  keyed.idempotency_window = 20s;
+  keyed.ordered_by_key = true;
   ClassSettings once = safe;
   once.name = "settle";
-  once.repeat = Repeat::unsafe;
+  once.repeat = Idempotency::non_idempotent;
   s.module.classes = {safe, keyed, once};
   s.module.kinds = {{8, 16384}};
   s.module.may_cancel = true;
   s.module.may_probe = true;
   s.module.may_advise_retry = true;
-  s.module.longest_retry_advice = 500ms;
-  s.module.most_attempts = 3;
+  s.module.max_retry_after = 500ms;
+  s.module.max_attempts = 3;
   s.module.answer_slack = 20ms;
   s.module.drain_grace = 250ms;
-  s.module.cold_share = 0.3;
-  s.module.fall_multiple = 4;
-  s.module.fall_window = 1500ms;
-  s.links_per_engine = 4;
-  s.idle_links_per_engine = 2;
-  s.idle_link_life = 30s;
-  s.connect_time_out = 300ms;
-  s.probe_time_out = 300ms;
+  s.module.slow_start_capacity_share = 0.3;
+  s.module.overload_multiple = 4;
+  s.module.overload_window = 1500ms;
+  s.channels_per_engine = 4;
+  s.idle_channels_per_engine = 2;
+  s.idle_channel_lifetime = 30s;
+  s.connect_timeout = 300ms;
+  s.probe_timeout = 300ms;
   s.cancel_grace = 400ms;
   s.answer_buffer = 1000;
   s.client_window = 4000;
@@ -80,18 +80,18 @@
   std::size_t all = 0;
 };
 
-class CoreDesk {
+class CoordinatorHarness {
  public:
-  explicit CoreDesk(CoreSettings settings = small_core()) : conductor_(std::move(settings)) {}
-
-  std::vector<Effect> handle(const CoreEvent& event) {
-    std::vector<Effect> effects;
-    conductor_.handle(now_, event, effects);
-    conductor_.check();
-    for (const Effect& effect : effects) {
-      if (const auto* open = std::get_if<OpenLink>(&effect)) links_[open->link] = *open;
-      if (const auto* send = std::get_if<SendQuery>(&effect)) sent_[send->query] = send->link;
-      log_.push_back(effect);
+  explicit CoordinatorHarness(CoreSettings settings = small_core()) : coordinator_(std::move(settings)) {}
+
+  std::vector<HostAction> handle(const CoreEvent& event) {
+    std::vector<HostAction> effects;
+    coordinator_.handle(now_, event, effects);
+    coordinator_.check();
+    for (const HostAction& action : effects) {
+      if (const auto* open = std::get_if<OpenChannel>(&action)) channels_[open->channel] = *open;
+      if (const auto* send = std::get_if<SendQuery>(&action)) sent_[send->query] = send->channel;
+      log_.push_back(action);
     }
     return effects;
   }
@@ -99,52 +99,52 @@
   // Lets time pass, in the steps at which something falls due.
   void advance(Duration by) {
     const TimePoint until = now_ + by;
-    for (auto due = conductor_.due(); due && *due <= until; due = conductor_.due()) {
+    for (auto due = coordinator_.due(); due && *due <= until; due = coordinator_.due()) {
       now_ = std::max(now_, *due);
-      handle(TimeCame{});
+      handle(TimerExpired{});
     }
     now_ = until;
   }
 
-  void fleet(std::vector<EngineEntry> entries, FleetScope scope = FleetScope::full) {
-    handle(FleetTold{scope, std::move(entries)});
+  void fleet(std::vector<EngineEntry> entries, EndpointUpdate scope = EndpointUpdate::full) {
+    handle(EndpointsUpdated{scope, std::move(entries)});
   }
-  void ask(QueryId id, std::uint32_t cls = 0, std::uint64_t key = 0, Duration patience = 5s) {
+  void ask(QueryId id, std::uint32_t cls = 0, std::uint64_t key = 0, Duration client_timeout = 5s) {
     handle(SessionOpened{id});
-    ask_again(id, id, cls, key, patience);
+    ask_again(id, id, cls, key, client_timeout);
   }
   void ask_again(SessionId session, QueryId id, std::uint32_t cls = 0, std::uint64_t key = 0,
-                 Duration patience = 5s) {
-    handle(QueryArrived{session, id, cls, 0, key, patience, 20ms, 0, 0, false});
+                 Duration client_timeout = 5s) {
+    handle(QueryArrived{session, id, cls, 0, key, client_timeout, 20ms, 0, 0, false});
   }
-  // Brings up every link that is opening to this engine, or to all.
+  // Brings up every channel that is opening to this engine, or to all.
   void bring_up(EngineId engine = 0) {
-    const auto links = links_;
-    for (const auto& [id, open] : links) {
+    const auto channels = channels_;
+    for (const auto& [id, open] : channels) {
       if (engine != 0 && open.engine != engine) continue;
-      links_.erase(id);
-      handle(LinkUp{id});
+      channels_.erase(id);
+      handle(ChannelOpened{id});
     }
   }
   // Brings up what is opening and hands the query over.
-  LinkId run(QueryId id) {
+  ChannelId run(QueryId id) {
     bring_up();
-    const LinkId link = link_of(id);
-    handle(QuerySent{link});
-    return link;
+    const ChannelId channel = channel_of(id);
+    handle(QuerySent{channel});
+    return channel;
   }
-  [[nodiscard]] LinkId link_of(QueryId id) const { return sent_.at(id); }
+  [[nodiscard]] ChannelId channel_of(QueryId id) const { return sent_.at(id); }
   [[nodiscard]] bool was_sent(QueryId id) const { return sent_.contains(id); }
 
-  void finish(LinkId link, Ending ending = Ending::complete, std::size_t bytes = 10) {
-    handle(AnswerEnd{link, ending, bytes, true, 10ms, 1.0, {}});
+  void finish(ChannelId channel, Ending ending = Ending::complete, std::size_t bytes = 10) {
+    handle(AnswerEnd{channel, ending, bytes, true, 10ms, 1.0, {}});
   }
 
   template <typename T>
   [[nodiscard]] std::vector<T> all() const {
     std::vector<T> found;
-    for (const Effect& effect : log_)
-      if (const auto* one = std::get_if<T>(&effect)) found.push_back(*one);
+    for (const HostAction& action : log_)
+      if (const auto* one = std::get_if<T>(&action)) found.push_back(*one);
     return found;
   }
   [[nodiscard]] std::vector<Answer> answers(QueryId id) const {
@@ -163,22 +163,22 @@
     return bytes;
   }
   template <typename T>
-  [[nodiscard]] bool did(LinkId link) const {
-    for (const T& effect : all<T>())
-      if (effect.link == link) return true;
+  [[nodiscard]] bool did(ChannelId channel) const {
+    for (const T& action : all<T>())
+      if (action.channel == channel) return true;
     return false;
   }
 
   [[nodiscard]] TimePoint now() const { return now_; }
-  [[nodiscard]] Counts counts() const { return conductor_.counts(); }
-  [[nodiscard]] const std::vector<Effect>& log() const { return log_; }
+  [[nodiscard]] Counts counts() const { return coordinator_.counts(); }
+  [[nodiscard]] const std::vector<HostAction>& log() const { return log_; }
 
  private:
-  Conductor conductor_;
+  QueryCoordinator coordinator_;
   TimePoint now_{1h};
-  std::map<LinkId, OpenLink> links_;
-  std::map<QueryId, LinkId> sent_;
-  std::vector<Effect> log_;
+  std::map<ChannelId, OpenChannel> channels_;
+  std::map<QueryId, ChannelId> sent_;
+  std::vector<HostAction> log_;
 };
 
 }  // namespace paddlestand::core::test
--- a/tests/core/stream_table_test.cpp
+++ b/tests/core/stream_table_test.cpp
@@ -18,9 +18,9 @@
   ASSERT_TRUE(table.reserve(7, 1));
   EXPECT_FALSE(table.reserve(7, 2)) << "reserved for another";
   ASSERT_TRUE(table.open(7, 1));
-  EXPECT_EQ(table.link_of(7), LinkId{1});
+  EXPECT_EQ(table.channel_of(7), ChannelId{1});
   table.close(7);
-  EXPECT_FALSE(table.link_of(7));
+  EXPECT_FALSE(table.channel_of(7));
   EXPECT_FALSE(table.may_carry(7));
   EXPECT_FALSE(table.reserve(7, 2));
   EXPECT_TRUE(table.may_carry(8));
@@ -29,7 +29,7 @@
 TEST(StreamTable, OfAReservedStreamNothingIsAwaited) {
   StreamTable table;
   ASSERT_TRUE(table.reserve(7, 1));
-  EXPECT_FALSE(table.link_of(7));
+  EXPECT_FALSE(table.channel_of(7));
   EXPECT_FALSE(table.open(7, 2)) << "not this link's";
   EXPECT_FALSE(table.open(8, 1)) << "not reserved";
 }
@@ -95,7 +95,7 @@
 constexpr ConnectionLimits limits{.streams_per_connection = 2, .usual = 2, .room = true};
 
 ConnectionChoice choose(std::vector<ConnectionFacts> connections, const ConnectionLimits& most = limits,
-                        LinkUse use = LinkUse::query) {
+                        ChannelUse use = ChannelUse::query) {
   return choose_connection(connections, most, use);
 }
 
@@ -138,8 +138,8 @@
 }
 
 TEST(ConnectionChoice, AProbeTakesANewConnectionFirst) {
-  EXPECT_EQ(choose({idle}, limits, LinkUse::probe).kind, Kind::open);
-  EXPECT_EQ(choose({idle, idle}, limits, LinkUse::probe).kind, Kind::existing);
+  EXPECT_EQ(choose({idle}, limits, ChannelUse::probe).kind, Kind::open);
+  EXPECT_EQ(choose({idle, idle}, limits, ChannelUse::probe).kind, Kind::existing);
 }
 
 }  // namespace
--- a/tests/core/wire_exploration_test.cpp
+++ b/tests/core/wire_exploration_test.cpp
@@ -14,7 +14,7 @@
 namespace paddlestand::core {
 namespace {
 
-constexpr std::size_t requests = 2, most_attempts = 3, usual_connections = 2;
+constexpr std::size_t requests = 2, max_attempts = 3, usual_connections = 2;
 
 // What the manager did before the repair, to show that the exploration would have found it.
 struct Defects {
@@ -31,16 +31,16 @@
 
 struct Attempt {
   std::size_t request{};
-  LinkId link{};
+  ChannelId channel{};
   std::size_t connection{};
   bool out = true;  // as the manager has it
   bool out_at_engine = true;
   bool cancel_waits = false;
 };
 
-class World {
+class ModelState {
  public:
-  explicit World(Defects defects) : defects_(defects) {}
+  explicit ModelState(Defects defects) : defects_(defects) {}
 
   [[nodiscard]] const std::string& broken() const { return broken_; }
 
@@ -102,7 +102,7 @@
       if (attempt.out) return false;
       ++made;
     }
-    return made < most_attempts;
+    return made < max_attempts;
   }
 
   std::optional<std::size_t> place(StreamId id) {
@@ -114,7 +114,7 @@
       facts.push_back({!one.retired, one.table.may_carry(id), one.streams, TimePoint{static_cast<int>(c)}});
       open.push_back(c);
     }
-    const ConnectionChoice choice = choose_connection(facts, {2, usual_connections, true}, LinkUse::query);
+    const ConnectionChoice choice = choose_connection(facts, {2, usual_connections, true}, ChannelUse::query);
     if (choice.kind == ConnectionChoice::Kind::none) return std::nullopt;
     if (choice.kind == ConnectionChoice::Kind::existing) return open[choice.index];
     connections_.push_back({});
@@ -126,10 +126,10 @@
     const StreamId id = id_of(request);
     const auto at = place(id);
     if (!at) return;
-    const LinkId link = attempts_.size() + 1;
+    const ChannelId channel = attempts_.size() + 1;
     if (!defects_.cancels_are_believed)
       for (const ConnectionId number : wire_.being_cancelled(id)) close(number - 1);
-    if (!connections_[*at].table.reserve(id, link) || !connections_[*at].table.open(id, link))
+    if (!connections_[*at].table.reserve(id, channel) || !connections_[*at].table.open(id, channel))
       return fail("an id was used twice on a connection");
     if (!defects_.cancels_are_believed && wire_.out(id))
       return fail("a second attempt, by the manager's account");
@@ -138,7 +138,7 @@
         return fail("an attempt began while the engine had another one");
     wire_.began(id, connections_[*at].number);
     ++connections_[*at].streams;
-    attempts_.push_back({request, link, *at});
+    attempts_.push_back({request, channel, *at});
   }
 
   // The engine says something of a request that it has, or once had, on this attempt's connection.
@@ -146,10 +146,10 @@
     if (ends) attempts_[cause].out_at_engine = false;
     if (!arrives) return;
     const StreamId id = id_of(attempts_[cause].request);
-    const auto link = connections_[attempts_[cause].connection].table.link_of(id);
-    if (!link) return;
-    Attempt& credited = attempts_[*link - 1];
-    if (*link != attempts_[cause].link) return fail("a frame was credited to another attempt");
+    const auto channel = connections_[attempts_[cause].connection].table.channel_of(id);
+    if (!channel) return;
+    Attempt& credited = attempts_[*channel - 1];
+    if (*channel != attempts_[cause].channel) return fail("a frame was credited to another attempt");
     if (!credited.out) return fail("a frame was credited to an attempt that had ended");
     if (ends) finish(credited);
   }
@@ -207,11 +207,11 @@
 };
 
 // The first history that breaks something, all of this length tried; nothing where none does.
-std::string first_break(const World& world, int steps) {
+std::string first_break(const ModelState& world, int steps) {
   if (!world.broken().empty()) return world.broken();
   if (steps == 0) return {};
   for (const int move : world.moves()) {
-    World next = world;
+    ModelState next = world;
     next.make(move);
     if (auto broken = first_break(next, steps - 1); !broken.empty()) return broken;
   }
@@ -221,7 +221,7 @@
 std::string first_break_at_random(Defects defects, std::uint64_t walks, int steps) {
   std::mt19937_64 random(32);
   for (std::uint64_t walk = 0; walk < walks; ++walk) {
-    World world(defects);
+    ModelState world(defects);
     for (int step = 0; step < steps && world.broken().empty(); ++step) {
       const auto moves = world.moves();
       if (moves.empty()) break;
@@ -236,7 +236,7 @@
 constexpr std::uint64_t walks = 50000;
 
 TEST(WireExploration, NoShortHistoryCreditsAFrameToAnotherAttempt) {
-  EXPECT_EQ(first_break(World(Defects{}), whole_depth), "");
+  EXPECT_EQ(first_break(ModelState(Defects{}), whole_depth), "");
 }
 
 TEST(WireExploration, NoLongWalkCreditsAFrameToAnotherAttempt) {
@@ -244,12 +244,12 @@
 }
 
 TEST(WireExploration, IdsThatAreFreeAgainAtTheFirstEndAreFound) {
-  EXPECT_NE(first_break(World(Defects{.ids_are_forgotten = true}), whole_depth), "");
+  EXPECT_NE(first_break(ModelState(Defects{.ids_are_forgotten = true}), whole_depth), "");
   EXPECT_NE(first_break_at_random({.ids_are_forgotten = true}, walks, walk_length), "");
 }
 
 TEST(WireExploration, CancelsThatAreBelievedBeforeTheyLeaveAreFound) {
-  EXPECT_NE(first_break(World(Defects{.cancels_are_believed = true}), whole_depth), "");
+  EXPECT_NE(first_break(ModelState(Defects{.cancels_are_believed = true}), whole_depth), "");
 }
 
 }  // namespace
--- a/tests/decision/manager_harness.hpp
+++ b/tests/decision/manager_harness.hpp
@@ -18,37 +18,37 @@
   s.clock_step = 5ms;
   ClassSettings quick;
   quick.name = "quick";
-  quick.aim = 1s;
-  quick.aim_stretch = 2;
+  quick.latency_objective = 1s;
+  quick.objective_per_run_time = 2;
   quick.deadline = 5s;
-  quick.worth = 1;
+  quick.priority_weight = 1;
   quick.threads = 1;
   ClassSettings heavy = quick;
   heavy.name = "heavy";
-  heavy.aim = 3s;
+  heavy.latency_objective = 3s;
   heavy.deadline = 15s;
-  heavy.worth = 6;
-  heavy.late_worth = 0.4;
+  heavy.priority_weight = 6;
+  heavy.late_answer_weight = 0.4;
   heavy.threads = 2;
   s.classes = {quick, heavy};
   s.kinds = {{8, 16384}};
-  s.answers_tell_cost = true;
-  s.largest_grant_share = 0.4;
+  s.answers_report_cost = true;
+  s.max_grant_share = 0.4;
   s.may_cancel = true;
   s.may_probe = true;
-  s.most_attempts = 3;
+  s.max_attempts = 3;
   s.answer_slack = 20ms;
   s.drain_grace = 500ms;
-  s.cold_share = 0.3;
-  s.cold_time = 15s;
-  s.fall_multiple = 2.5;
-  s.fall_window = 1500ms;
+  s.slow_start_capacity_share = 0.3;
+  s.slow_start_duration = 15s;
+  s.overload_multiple = 2.5;
+  s.overload_window = 1500ms;
   return s;
 }
 
-class Desk {
+class ManagerHarness {
  public:
-  explicit Desk(Settings settings) : manager_(std::move(settings)) {}
+  explicit ManagerHarness(Settings settings) : manager_(std::move(settings)) {}
 
   void handle(const Event& event) {
     std::vector<Action> actions;
@@ -73,25 +73,25 @@
     now_ = until;
   }
 
-  void fleet(std::vector<EngineEntry> engines, FleetScope scope = FleetScope::cached) {
-    handle(FleetChanged{scope, engines});
+  void fleet(std::vector<EngineEntry> engines, EndpointUpdate scope = EndpointUpdate::cached) {
+    handle(EndpointsChanged{scope, engines});
   }
 
   void request(RequestId id, std::uint32_t cls = 0, Duration cost = 100ms, std::uint64_t key = 0,
-               Duration patience = 5s) {
-    handle(RequestArrived{id, cls, 0, key, patience, cost, 10, static_cast<double>(id), false});
+               Duration client_timeout = 5s) {
+    handle(RequestArrived{id, cls, 0, key, client_timeout, cost, 10, static_cast<double>(id), false});
   }
 
   // Ends the latest attempt of a request.
-  void end(RequestId id, Result result, Duration work = 100ms) {
+  void end(RequestId id, AttemptResult result, Duration work = 100ms) {
     AttemptEnded event;
     event.request = id;
     event.attempt = attempts_.at(id) - 1;
     event.engine = engine_of(id);
     event.result = result;
     event.took = work;
-    event.request_over = result == Result::served;
-    if (result == Result::served) event.work = work;
+    event.request_over = result == AttemptResult::served;
+    if (result == AttemptResult::served) event.work = work;
     handle(event);
   }
 
--- a/tests/decision/readme_example_test.cpp
+++ b/tests/decision/readme_example_test.cpp
@@ -11,23 +11,23 @@
   paddlestand::Settings settings;
   settings.instances = 1;
   settings.clock_step = 5ms;
-  settings.most_attempts = 3;
+  settings.max_attempts = 3;
   settings.kinds = {{.cores = 8, .memory_mb = 16384}};
   paddlestand::ClassSettings lookup;
-  lookup.aim = 1s;
+  lookup.latency_objective = 1s;
   lookup.deadline = 5s;
-  lookup.worth = 1;
+  lookup.priority_weight = 1;
   lookup.threads = 1;
   settings.classes = {lookup};
 
   paddlestand::WorkloadManager manager(settings);
   std::vector<paddlestand::Action> actions;
   const std::vector<paddlestand::EngineEntry> fleet{{.engine = 7, .state = paddlestand::EngineState::ready}};
-  manager.handle(0s, paddlestand::FleetChanged{paddlestand::FleetScope::full, fleet}, actions);
+  manager.handle(0s, paddlestand::EndpointsChanged{paddlestand::EndpointUpdate::full, fleet}, actions);
   paddlestand::RequestArrived request;
   request.request = 1;
-  request.patience = 5s;
-  request.told_cost = 120ms;
+  request.client_timeout = 5s;
+  request.estimated_cost = 120ms;
   manager.handle(1ms, request, actions);
 
   EXPECT_TRUE(std::any_of(actions.begin(), actions.end(), [](const paddlestand::Action& action) {
--- a/tests/decision/rules_test.cpp
+++ b/tests/decision/rules_test.cpp
@@ -6,188 +6,191 @@
 #include <random>
 #include <set>
 
-#include "harness.hpp"
+#include "manager_harness.hpp"
 
 namespace paddlestand::test {
 namespace {
 
 TEST(RuleAnswers, AHeldOrSentRequestIsAnsweredOnceBeforeItsDeadline) {
-  Desk desk(small_site());
-  desk.fleet({engine(1)});
-  desk.request(1, 0, 100ms, 0, 700ms);
-  EXPECT_EQ(desk.sends(1), 1);
-  const TimePoint deadline = desk.now() + 700ms;
-  desk.advance(2s);
-  ASSERT_EQ(desk.count<Refuse>(1) + desk.count<Fail>(1), 1);
-  for (const auto& [at, action] : desk.log()) {
-    if (const auto* refuse = std::get_if<Refuse>(&action)) { EXPECT_LE(at, deadline) << refuse->request; }
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1)});
+  harness.request(1, 0, 100ms, 0, 700ms);
+  EXPECT_EQ(harness.sends(1), 1);
+  const TimePoint deadline = harness.now() + 700ms;
+  harness.advance(2s);
+  ASSERT_EQ(harness.count<Reject>(1) + harness.count<Fail>(1), 1);
+  for (const auto& [at, action] : harness.log()) {
+    if (const auto* refuse = std::get_if<Reject>(&action)) { EXPECT_LE(at, deadline) << refuse->request; }
   }
 }
 
 TEST(RuleEffects, UnsafeWorkThatMayHaveRunIsFailedNeitherResentNorRefused) {
   Settings s = small_site();
-  s.classes[0].repeat = Repeat::unsafe;
-  for (const Result result : {Result::engine_error, Result::reset, Result::timed_out, Result::cancelled}) {
-    Desk desk(s);
-    desk.fleet({engine(1), engine(2)});
-    desk.request(1);
-    desk.end(1, result);
-    EXPECT_EQ(desk.sends(1), 1);
-    EXPECT_EQ(desk.count<Refuse>(1), 0);
-    EXPECT_EQ(desk.count<Fail>(1), 1);
+  s.classes[0].repeat = Idempotency::non_idempotent;
+  for (const AttemptResult result : {AttemptResult::engine_error, AttemptResult::reset,
+                                     AttemptResult::timed_out, AttemptResult::cancelled}) {
+    ManagerHarness harness(s);
+    harness.fleet({engine(1), engine(2)});
+    harness.request(1);
+    harness.end(1, result);
+    EXPECT_EQ(harness.sends(1), 1);
+    EXPECT_EQ(harness.count<Reject>(1), 0);
+    EXPECT_EQ(harness.count<Fail>(1), 1);
   }
 }
 
 TEST(RuleEffects, UnsafeWorkThatNeverRanMayBeSentAgain) {
   Settings s = small_site();
-  s.classes[0].repeat = Repeat::unsafe;
-  Desk desk(s);
-  desk.fleet({engine(1), engine(2)});
-  desk.request(1);
-  desk.end(1, Result::full);
-  EXPECT_EQ(desk.sends(1), 2);
+  s.classes[0].repeat = Idempotency::non_idempotent;
+  ManagerHarness harness(s);
+  harness.fleet({engine(1), engine(2)});
+  harness.request(1);
+  harness.end(1, AttemptResult::rejected);
+  EXPECT_EQ(harness.sends(1), 2);
 }
 
 TEST(RuleEffects, KeyedWorkIsRepeatedOnlyInItsGroup) {
   Settings s = small_site();
-  s.classes[0].repeat = Repeat::keyed;
-  s.classes[0].key_scope = KeyScope::cell;
-  s.classes[0].key_window = 5s;
-  Desk desk(s);
+  s.classes[0].repeat = Idempotency::idempotent_with_key;
+  s.classes[0].idempotency_scope = IdempotencyScope::cell;
+  s.classes[0].idempotency_window = 5s;
+  ManagerHarness harness(s);
   auto other = engine(2);
   other.cell = 1;
-  desk.fleet({engine(1)});
-  desk.request(1);
-  desk.fleet({engine(1, EngineState::gone), other}, FleetScope::delta);
-  desk.end(1, Result::reset);
-  EXPECT_EQ(desk.sends(1), 1);
-  desk.advance(6s);
-  EXPECT_EQ(desk.count<Refuse>(1), 0);
-  EXPECT_EQ(desk.count<Fail>(1), 1);
+  harness.fleet({engine(1)});
+  harness.request(1);
+  harness.fleet({engine(1, EngineState::removed), other}, EndpointUpdate::delta);
+  harness.end(1, AttemptResult::reset);
+  EXPECT_EQ(harness.sends(1), 1);
+  harness.advance(6s);
+  EXPECT_EQ(harness.count<Reject>(1), 0);
+  EXPECT_EQ(harness.count<Fail>(1), 1);
 }
 
 TEST(RuleEffects, KeyedWorkIsNotRepeatedAfterItsWindow) {
   Settings s = small_site();
-  s.classes[0].repeat = Repeat::keyed;
-  s.classes[0].key_window = 1s;
-  s.classes[0].aim = 10s;
-  Desk desk(s);
-  desk.fleet({engine(1)});
-  desk.request(1, 0, 3s, 0, 9s);
-  desk.advance(1100ms);
-  desk.fleet({engine(2)}, FleetScope::delta);
-  desk.end(1, Result::engine_error);
-  desk.advance(500ms);
-  EXPECT_EQ(desk.sends(1), 1);
+  s.classes[0].repeat = Idempotency::idempotent_with_key;
+  s.classes[0].idempotency_window = 1s;
+  s.classes[0].latency_objective = 10s;
+  ManagerHarness harness(s);
+  harness.fleet({engine(1)});
+  harness.request(1, 0, 3s, 0, 9s);
+  harness.advance(1100ms);
+  harness.fleet({engine(2)}, EndpointUpdate::delta);
+  harness.end(1, AttemptResult::engine_error);
+  harness.advance(500ms);
+  EXPECT_EQ(harness.sends(1), 1);
 }
 
 TEST(RuleDrain, NothingGoesToADrainingOrMissingEngine) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2), engine(3)});
-  desk.fleet({engine(1, EngineState::draining)}, FleetScope::delta);
-  desk.fleet({engine(1, EngineState::draining), engine(2)}, FleetScope::full);
-  for (RequestId id = 1; id <= 5; ++id) desk.request(id);
-  EXPECT_EQ(desk.sends_to(1), 0);
-  EXPECT_EQ(desk.sends_to(2), 5);
-  EXPECT_EQ(desk.sends_to(3), 0);
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2), engine(3)});
+  harness.fleet({engine(1, EngineState::draining)}, EndpointUpdate::delta);
+  harness.fleet({engine(1, EngineState::draining), engine(2)}, EndpointUpdate::full);
+  for (RequestId id = 1; id <= 5; ++id) harness.request(id);
+  EXPECT_EQ(harness.sends_to(1), 0);
+  EXPECT_EQ(harness.sends_to(2), 5);
+  EXPECT_EQ(harness.sends_to(3), 0);
 }
 
 TEST(RuleCold, AColdEngineGetsAtMostThisInstancesPart) {
   Settings s = small_site();
   s.instances = 2;
-  Desk desk(s);
-  desk.fleet({engine(1)});
+  ManagerHarness harness(s);
+  harness.fleet({engine(1)});
   for (RequestId id = 1; id <= 20; ++id) {
-    desk.request(id);
-    desk.end(id, Result::served);
+    harness.request(id);
+    harness.end(id, AttemptResult::served);
   }
-  desk.advance(5s);
-  desk.fleet({engine(1, EngineState::gone), engine(2, EngineState::ready, desk.now())}, FleetScope::delta);
+  harness.advance(5s);
+  harness.fleet({engine(1, EngineState::removed), engine(2, EngineState::ready, harness.now())},
+                EndpointUpdate::delta);
   for (RequestId id = 100; id < 200; ++id) {
-    desk.request(id, 0, 100ms);
-    if (desk.sends(id) == 1) desk.end(id, Result::served);
+    harness.request(id, 0, 100ms);
+    if (harness.sends(id) == 1) harness.end(id, AttemptResult::served);
   }
-  EXPECT_GT(desk.sends_to(2), 0);
+  EXPECT_GT(harness.sends_to(2), 0);
   // 8 cores x 0.3 of their capacity x 2.5 x 1.5 s, halved for two instances, in queries of 100 ms.
-  EXPECT_LE(desk.sends_to(2) * 0.1, 8 * 0.85 * 0.3 * 2.5 * 1.5 / 2);
+  EXPECT_LE(harness.sends_to(2) * 0.1, 8 * 0.85 * 0.3 * 2.5 * 1.5 / 2);
 }
 
 TEST(RuleOrder, RequestsOfOneKeyRunOneAtATimeInOrder) {
   Settings s = small_site();
-  s.classes[0].in_turn = true;
-  s.order_settle = 500ms;
-  Desk desk(s);
-  desk.fleet({engine(1), engine(2)});
-  for (RequestId id = 1; id <= 3; ++id) desk.request(id, 0, 100ms, 7);
-  desk.request(4, 0, 100ms, 8);
-  EXPECT_EQ(desk.sends(1), 1);
-  EXPECT_EQ(desk.sends(2), 0);
-  EXPECT_EQ(desk.sends(4), 1);
-  desk.end(1, Result::served);
-  EXPECT_EQ(desk.sends(2), 1);
-  EXPECT_EQ(desk.sends(3), 0);
+  s.classes[0].ordered_by_key = true;
+  s.ordering_settle_time = 500ms;
+  ManagerHarness harness(s);
+  harness.fleet({engine(1), engine(2)});
+  for (RequestId id = 1; id <= 3; ++id) harness.request(id, 0, 100ms, 7);
+  harness.request(4, 0, 100ms, 8);
+  EXPECT_EQ(harness.sends(1), 1);
+  EXPECT_EQ(harness.sends(2), 0);
+  EXPECT_EQ(harness.sends(4), 1);
+  harness.end(1, AttemptResult::served);
+  EXPECT_EQ(harness.sends(2), 1);
+  EXPECT_EQ(harness.sends(3), 0);
 }
 
 TEST(RuleOrder, AKeyRestsAfterAnAttemptThatMayStillRun) {
   Settings s = small_site();
-  s.classes[0].in_turn = true;
-  s.classes[0].repeat = Repeat::unsafe;
-  s.order_settle = 500ms;
-  Desk desk(s);
-  desk.fleet({engine(1), engine(2)});
-  desk.request(1, 0, 100ms, 7);
-  desk.request(2, 0, 100ms, 7);
-  desk.end(1, Result::reset);
-  EXPECT_EQ(desk.count<Fail>(1), 1);
-  desk.advance(490ms);
-  EXPECT_EQ(desk.sends(2), 0);
-  desk.advance(200ms);
-  EXPECT_EQ(desk.sends(2), 1);
+  s.classes[0].ordered_by_key = true;
+  s.classes[0].repeat = Idempotency::non_idempotent;
+  s.ordering_settle_time = 500ms;
+  ManagerHarness harness(s);
+  harness.fleet({engine(1), engine(2)});
+  harness.request(1, 0, 100ms, 7);
+  harness.request(2, 0, 100ms, 7);
+  harness.end(1, AttemptResult::reset);
+  EXPECT_EQ(harness.count<Fail>(1), 1);
+  harness.advance(490ms);
+  EXPECT_EQ(harness.sends(2), 0);
+  harness.advance(200ms);
+  EXPECT_EQ(harness.sends(2), 1);
 }
 
 TEST(RulePlacement, ABoundClassGoesOnlyToItsKindsAndZones) {
   Settings s = small_site();
   s.kinds.push_back({8, 16384});
   s.classes[0].allowed_kinds = {1};
-  Desk desk(s);
+  ManagerHarness harness(s);
   auto right = engine(2);
   right.kind = 1;
-  desk.fleet({engine(1), right});
-  desk.request(1);
-  EXPECT_EQ(desk.engine_of(1), 2U);
-  desk.fleet({engine(2, EngineState::gone)}, FleetScope::delta);
-  desk.end(1, Result::connect_failed);
-  desk.request(2);
-  desk.advance(6s);
-  EXPECT_EQ(desk.sends_to(1), 0);
+  harness.fleet({engine(1), right});
+  harness.request(1);
+  EXPECT_EQ(harness.engine_of(1), 2U);
+  harness.fleet({engine(2, EngineState::removed)}, EndpointUpdate::delta);
+  harness.end(1, AttemptResult::connect_failed);
+  harness.request(2);
+  harness.advance(6s);
+  EXPECT_EQ(harness.sends_to(1), 0);
 }
 
 TEST(RuleBudget, FurtherAttemptsStayWithinTheRation) {
   Settings s = small_site();
-  s.attempt_budget = AttemptBudget{3, 0.1, 5s};
-  Desk desk(s);
-  desk.fleet({engine(1), engine(2), engine(3)});
+  s.retry_budget = RetryBudgetSettings{3, 0.1, 5s};
+  ManagerHarness harness(s);
+  harness.fleet({engine(1), engine(2), engine(3)});
   int further = 0;
   for (RequestId id = 1; id <= 20; ++id) {
-    desk.request(id);
-    while (desk.sends(id) > 0 && desk.count<Refuse>(id) + desk.count<Fail>(id) == 0 && desk.sends(id) < 3) {
-      const int before = desk.sends(id);
-      desk.end(id, Result::connect_failed);
-      if (desk.sends(id) == before) break;
+    harness.request(id);
+    while (harness.sends(id) > 0 && harness.count<Reject>(id) + harness.count<Fail>(id) == 0 &&
+           harness.sends(id) < 3) {
+      const int before = harness.sends(id);
+      harness.end(id, AttemptResult::connect_failed);
+      if (harness.sends(id) == before) break;
     }
-    further += std::max(0, desk.sends(id) - 1);
+    further += std::max(0, harness.sends(id) - 1);
   }
   EXPECT_GT(further, 0);
   EXPECT_LE(further, 5);
 }
 
 TEST(RuleAttempts, NoMoreThanTheMostAttempts) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2), engine(3), engine(4), engine(5)});
-  desk.request(1);
-  for (int i = 0; i < 3; ++i) desk.end(1, Result::full);
-  EXPECT_EQ(desk.sends(1), 3);
-  EXPECT_EQ(desk.count<Refuse>(1), 1);
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2), engine(3), engine(4), engine(5)});
+  harness.request(1);
+  for (int i = 0; i < 3; ++i) harness.end(1, AttemptResult::rejected);
+  EXPECT_EQ(harness.sends(1), 3);
+  EXPECT_EQ(harness.count<Reject>(1), 1);
 }
 
 // Random legal sequences; the rules are checked on the actions, from outside. It models no server: outcomes
@@ -199,15 +202,15 @@
   const auto draw = [&](unsigned below) { return static_cast<unsigned>(random() % below); };
   Settings s = small_site();
   s.instances = 2;
-  s.attempt_budget = AttemptBudget{3, 0.2, 2s};
-  s.order_settle = 100ms;
-  s.classes[1].repeat = Repeat::unsafe;
+  s.retry_budget = RetryBudgetSettings{3, 0.2, 2s};
+  s.ordering_settle_time = 100ms;
+  s.classes[1].repeat = Idempotency::non_idempotent;
   ClassSettings keyed = s.classes[0];
-  keyed.repeat = Repeat::keyed;
-  keyed.key_window = 2s;
-  keyed.in_turn = true;
+  keyed.repeat = Idempotency::idempotent_with_key;
+  keyed.idempotency_window = 2s;
+  keyed.ordered_by_key = true;
   s.classes.push_back(keyed);
-  Desk desk(s);
+  ManagerHarness harness(s);
 
   struct Taken {
     std::uint32_t cls{};
@@ -228,16 +231,16 @@
   std::size_t seen = 0;
 
   const auto inspect = [&] {
-    for (; seen < desk.log().size(); ++seen) {
-      const auto& [at, action] = desk.log()[seen];
+    for (; seen < harness.log().size(); ++seen) {
+      const auto& [at, action] = harness.log()[seen];
       if (const auto* send = std::get_if<Send>(&action)) {
         Taken& t = taken.at(send->request);
         ASSERT_FALSE(t.over);
         ASSERT_EQ(std::count(t.out.begin(), t.out.end(), true), 0) << "two at once";
         ASSERT_EQ(states.at(send->engine), EngineState::ready);
-        ASSERT_LT(t.out.size(), s.most_attempts);
+        ASSERT_LT(t.out.size(), s.max_attempts);
         const bool doubt = std::count(t.may_have_run.begin(), t.may_have_run.end(), true) > 0;
-        if (doubt) { ASSERT_NE(s.classes[t.cls].repeat, Repeat::unsafe); }
+        if (doubt) { ASSERT_NE(s.classes[t.cls].repeat, Idempotency::non_idempotent); }
         if (doubt && t.cls == 2) { ASSERT_LE(at, t.first_in_doubt + 2s); }
         if (t.key != 0) {
           for (const RequestId earlier : lines[t.key]) {
@@ -266,7 +269,7 @@
         ++t.answers;
       };
       if (const auto* fail = std::get_if<Fail>(&action)) final_answer(fail->request);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      if (const auto* refuse = std::get_if<Reject>(&action)) {
         const Taken& t = taken.at(refuse->request);
         if (t.cls == 1) { ASSERT_EQ(std::count(t.may_have_run.begin(), t.may_have_run.end(), true), 0); }
         final_answer(refuse->request);
@@ -276,24 +279,24 @@
 
   const auto change_fleet = [&](EngineId id, EngineState state, TimePoint started) {
     states[id] = state;
-    desk.fleet({engine(id, state, started)}, FleetScope::delta);
+    harness.fleet({engine(id, state, started)}, EndpointUpdate::delta);
   };
   for (EngineId id = 1; id <= 4; ++id) change_fleet(id, EngineState::ready, 0s);
 
   RequestId next = 1;
   for (int step = 0; step < 4000; ++step) {
-    desk.advance(std::chrono::milliseconds(draw(20)));
+    harness.advance(std::chrono::milliseconds(draw(20)));
     inspect();
     if (HasFatalFailure()) return;
     const unsigned what = draw(100);
     if (what < 45) {
       const std::uint32_t cls = draw(3);
-      const Duration patience = std::chrono::milliseconds(1 + draw(4000));
+      const Duration client_timeout = std::chrono::milliseconds(1 + draw(4000));
       const std::uint64_t key = draw(4);
-      taken[next] = {cls, cls == 2 ? key : 0, desk.now() + patience, 0, false, {}, {}, {}};
-      arrivals.push_back(desk.now());
+      taken[next] = {cls, cls == 2 ? key : 0, harness.now() + client_timeout, 0, false, {}, {}, {}};
+      arrivals.push_back(harness.now());
       if (taken[next].key != 0) lines[key].push_back(next);
-      desk.request(next++, cls, std::chrono::milliseconds(draw(2000)), key, patience);
+      harness.request(next++, cls, std::chrono::milliseconds(draw(2000)), key, client_timeout);
     } else if (what < 98) {
       std::vector<std::pair<RequestId, std::size_t>> out;
       for (auto& [id, t] : taken) {
@@ -307,31 +310,32 @@
       AttemptEnded event;
       event.request = id;
       event.attempt = static_cast<std::uint32_t>(attempt);
-      event.result = static_cast<Result>(draw(10) < 5 ? 0 : draw(8));
+      event.result = static_cast<AttemptResult>(draw(10) < 5 ? 0 : draw(8));
       event.took = 50ms;
       t.out[attempt] = false;
-      const bool ran = event.result != Result::full && event.result != Result::connect_failed &&
-                       event.result != Result::moot;
+      const bool ran = event.result != AttemptResult::rejected &&
+                       event.result != AttemptResult::connect_failed &&
+                       event.result != AttemptResult::not_sent;
       t.may_have_run[attempt] = ran;
-      if (t.key != 0 && (event.result == Result::timed_out || event.result == Result::reset ||
-                         event.result == Result::cancelled)) {
-        rests[t.key] = desk.now() + s.order_settle;
+      if (t.key != 0 && (event.result == AttemptResult::timed_out || event.result == AttemptResult::reset ||
+                         event.result == AttemptResult::cancelled)) {
+        rests[t.key] = harness.now() + s.ordering_settle_time;
       }
-      if (event.result == Result::served && !t.over) {
+      if (event.result == AttemptResult::served && !t.over) {
         t.over = true;
         ++t.answers;
       }
       event.request_over = t.over;
-      desk.handle(event);
+      harness.handle(event);
     } else {
       const EngineId id = 1 + draw(4);
       const auto state = static_cast<EngineState>(draw(3));
-      change_fleet(id, state, draw(2) == 0 ? Duration{0} : desk.now());
+      change_fleet(id, state, draw(2) == 0 ? Duration{0} : harness.now());
     }
     inspect();
     if (HasFatalFailure()) return;
   }
-  desk.advance(6s);
+  harness.advance(6s);
   inspect();
   for (const auto& [id, t] : taken) ASSERT_EQ(t.answers, 1) << "request " << id;
   EXPECT_GT(further.size(), 5U);
--- a/tests/decision/workload_manager_test.cpp
+++ b/tests/decision/workload_manager_test.cpp
@@ -1,50 +1,50 @@
 // What the module decides, by scripted events.
 #include <gtest/gtest.h>
 
-#include "harness.hpp"
+#include "manager_harness.hpp"
 
 namespace paddlestand::test {
 namespace {
 
 TEST(Placement, QueriesSpreadOverTheEngines) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2), engine(3)});
-  for (RequestId id = 1; id <= 6; ++id) desk.request(id);
-  EXPECT_EQ(desk.sends_to(1), 2);
-  EXPECT_EQ(desk.sends_to(2), 2);
-  EXPECT_EQ(desk.sends_to(3), 2);
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2), engine(3)});
+  for (RequestId id = 1; id <= 6; ++id) harness.request(id);
+  EXPECT_EQ(harness.sends_to(1), 2);
+  EXPECT_EQ(harness.sends_to(2), 2);
+  EXPECT_EQ(harness.sends_to(3), 2);
 }
 
 TEST(Placement, WithNoEngineARequestIsHeldAndAnsweredInTime) {
-  Desk desk(small_site());
-  desk.fleet({});
-  desk.request(1, 0, 100ms, 0, 2s);
-  EXPECT_EQ(desk.count<Refuse>(1), 0);
-  desk.advance(2s);
-  EXPECT_EQ(desk.count<Refuse>(1), 1);
-  EXPECT_EQ(desk.sends(1), 0);
+  ManagerHarness harness(small_site());
+  harness.fleet({});
+  harness.request(1, 0, 100ms, 0, 2s);
+  EXPECT_EQ(harness.count<Reject>(1), 0);
+  harness.advance(2s);
+  EXPECT_EQ(harness.count<Reject>(1), 1);
+  EXPECT_EQ(harness.sends(1), 0);
 }
 
 TEST(Placement, AHeldRequestGoesOutWhenAnEngineComes) {
-  Desk desk(small_site());
-  desk.fleet({});
-  desk.request(1);
-  desk.advance(100ms);
-  desk.fleet({engine(1)}, FleetScope::delta);
-  EXPECT_EQ(desk.sends(1), 1);
+  ManagerHarness harness(small_site());
+  harness.fleet({});
+  harness.request(1);
+  harness.advance(100ms);
+  harness.fleet({engine(1)}, EndpointUpdate::delta);
+  EXPECT_EQ(harness.sends(1), 1);
 }
 
 TEST(ClassBound, UnderPressureHeavyQueriesAreRefusedBeforeLightOnes) {
-  Desk desk(small_site());
-  desk.fleet({engine(1)});
-  for (RequestId id = 1; id <= 40; ++id) desk.request(id, 1, 1s, 0, 15s);
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1)});
+  for (RequestId id = 1; id <= 40; ++id) harness.request(id, 1, 1s, 0, 15s);
   int light = 0;
   int heavy = 0;
   for (RequestId id = 100; id < 110; ++id) {
-    desk.request(id, 1, 200ms, 0, 15s);
-    desk.request(id + 100, 1, 60s, 0, 15s);
-    light += desk.count<Refuse>(id);
-    heavy += desk.count<Refuse>(id + 100);
+    harness.request(id, 1, 200ms, 0, 15s);
+    harness.request(id + 100, 1, 60s, 0, 15s);
+    light += harness.count<Reject>(id);
+    heavy += harness.count<Reject>(id + 100);
   }
   EXPECT_EQ(heavy, 10);
   EXPECT_LT(light, 10);
@@ -54,98 +54,98 @@
 // were refused had a key of their own that was free, while the engines were idle.
 TEST(ClassBound, ALineBehindOneKeyDoesNotRefuseOtherKeys) {
   Settings settings = small_site();
-  settings.classes[1].in_turn = true;
-  Desk desk(settings);
-  desk.fleet({engine(1), engine(2), engine(3), engine(4)});
+  settings.classes[1].ordered_by_key = true;
+  ManagerHarness harness(settings);
+  harness.fleet({engine(1), engine(2), engine(3), engine(4)});
   RequestId refused = 0;
   for (RequestId id = 1; id <= 30 && refused == 0; ++id) {
-    desk.request(id, 1, 1s, 7, 15s);
-    if (desk.count<Refuse>(id) > 0) refused = id;
+    harness.request(id, 1, 1s, 7, 15s);
+    if (harness.count<Reject>(id) > 0) refused = id;
   }
-  EXPECT_EQ(desk.sends(1), 1);
-  EXPECT_EQ(desk.sends(2), 0);
+  EXPECT_EQ(harness.sends(1), 1);
+  EXPECT_EQ(harness.sends(2), 0);
   EXPECT_GT(refused, 2U) << "one key's line is bounded too";
   for (RequestId id = 50; id < 54; ++id) {
-    desk.request(id, 1, 1s, id, 15s);
-    EXPECT_EQ(desk.sends(id), 1) << id;
-    EXPECT_EQ(desk.count<Refuse>(id), 0) << id;
+    harness.request(id, 1, 1s, id, 15s);
+    EXPECT_EQ(harness.sends(id), 1) << id;
+    EXPECT_EQ(harness.count<Reject>(id), 0) << id;
   }
 }
 
 // Bad clients on the platform asked in good form for what no engine knows: each such query failed at three
 // engines within a millisecond, and four of five were shunned for it while all were well.
 TEST(Health, WhatFailsAtEveryEngineSpeaksAgainstNone) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2), engine(3), engine(4)});
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2), engine(3), engine(4)});
   for (RequestId id = 1; id <= 12; ++id) {
-    desk.request(100 + id);
-    desk.end(100 + id, Result::served);
-    desk.request(id, 0, 100ms, 0, 5s);
-    for (int attempt = 1; attempt <= 3 && desk.sends(id) == attempt; ++attempt)
-      desk.end(id, Result::engine_error);
-    EXPECT_EQ(desk.sends(id), 3) << id;
-    desk.advance(300ms);
+    harness.request(100 + id);
+    harness.end(100 + id, AttemptResult::served);
+    harness.request(id, 0, 100ms, 0, 5s);
+    for (int attempt = 1; attempt <= 3 && harness.sends(id) == attempt; ++attempt)
+      harness.end(id, AttemptResult::engine_error);
+    EXPECT_EQ(harness.sends(id), 3) << id;
+    harness.advance(300ms);
   }
-  EXPECT_FALSE(desk.logged("shunned"));
+  EXPECT_FALSE(harness.logged("shunned"));
 }
 
 // What another engine serves was no fault of the query: the first is judged as ever.
 TEST(Health, AnEngineThatFailsWhatOthersServeIsShunned) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2), engine(3)});
-  for (RequestId id = 1; id <= 40 && !desk.logged("shunned"); ++id) {
-    desk.request(id, 0, 100ms, 0, 5s);
-    while (desk.engine_of(id) == 2 && desk.count<Fail>(id) + desk.count<Refuse>(id) == 0 &&
-           desk.sends(id) < 3)
-      desk.end(id, Result::engine_error);
-    if (desk.engine_of(id) != 2) desk.end(id, Result::served);
-    desk.advance(100ms);
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2), engine(3)});
+  for (RequestId id = 1; id <= 40 && !harness.logged("shunned"); ++id) {
+    harness.request(id, 0, 100ms, 0, 5s);
+    while (harness.engine_of(id) == 2 && harness.count<Fail>(id) + harness.count<Reject>(id) == 0 &&
+           harness.sends(id) < 3)
+      harness.end(id, AttemptResult::engine_error);
+    if (harness.engine_of(id) != 2) harness.end(id, AttemptResult::served);
+    harness.advance(100ms);
   }
-  EXPECT_TRUE(desk.logged("engine 2 shunned: failing fast"));
+  EXPECT_TRUE(harness.logged("engine 2 shunned: failing fast"));
 }
 
 TEST(ClassBound, HeldQueriesLeaveInOrderOfArrival) {
-  Desk desk(small_site());
-  desk.fleet({engine(1)});
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1)});
   RequestId last = 40;
-  for (RequestId id = 1; id <= last; ++id) desk.request(id, 0, 100ms);
+  for (RequestId id = 1; id <= last; ++id) harness.request(id, 0, 100ms);
   RequestId next = 1;
-  while (next <= last && desk.sends(next) == 1) ++next;
+  while (next <= last && harness.sends(next) == 1) ++next;
   ASSERT_LE(next, last) << "nothing was held";
-  ASSERT_EQ(desk.count<Refuse>(next), 0);
-  desk.end(1, Result::served);
-  EXPECT_EQ(desk.sends(next), 1);
+  ASSERT_EQ(harness.count<Reject>(next), 0);
+  harness.end(1, AttemptResult::served);
+  EXPECT_EQ(harness.sends(next), 1);
 }
 
 TEST(ClassBound, AnIdleClassIsNotShutByASmallBound) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2)});
-  desk.request(1, 1, 100ms, 0, 15s);
-  desk.end(1, Result::served);
-  desk.advance(30s);
-  desk.request(2, 1, 5s, 0, 15s);
-  EXPECT_EQ(desk.sends(2), 1);
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2)});
+  harness.request(1, 1, 100ms, 0, 15s);
+  harness.end(1, AttemptResult::served);
+  harness.advance(30s);
+  harness.request(2, 1, 5s, 0, 15s);
+  EXPECT_EQ(harness.sends(2), 1);
 }
 
 // Guards against a bound that shuts wholly: light queries must still pass where heavy ones do not.
 TEST(ClassBound, UnderLastingPressureLightQueriesStillPass) {
-  Desk desk(small_site());
-  desk.fleet({engine(1)});
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1)});
   RequestId id = 1;
   for (; id <= 10; ++id) {
-    desk.request(id, 1, 4s, 0, 15s);
-    desk.end(id, Result::served, 4s);
-    desk.advance(200ms);
+    harness.request(id, 1, 4s, 0, 15s);
+    harness.end(id, AttemptResult::served, 4s);
+    harness.advance(200ms);
   }
   int light = 0;
   int heavy = 0;
   for (int step = 0; step < 200; ++step) {
     const RequestId late = id;
-    desk.request(id++, 1, 8s, 0, 15s);
-    desk.request(id++, 1, 10ms, 0, 15s);
-    desk.advance(50ms);
-    heavy += desk.count<Refuse>(late);
-    light += desk.count<Refuse>(late + 1);
+    harness.request(id++, 1, 8s, 0, 15s);
+    harness.request(id++, 1, 10ms, 0, 15s);
+    harness.advance(50ms);
+    heavy += harness.count<Reject>(late);
+    light += harness.count<Reject>(late + 1);
   }
   EXPECT_GT(heavy, 100);
   EXPECT_LT(light, heavy / 2);
@@ -153,37 +153,37 @@
 
 // Guards against the black hole: an engine that fails fast looks least loaded.
 TEST(Health, AnEngineThatFailsFastIsAvoidedAndTriedAgain) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2), engine(3)});
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1000; id < 1060; ++id) {
-    desk.request(id);
-    desk.end(id, Result::served);
+    harness.request(id);
+    harness.end(id, AttemptResult::served);
   }
-  const int well = desk.sends_to(1);
+  const int well = harness.sends_to(1);
   for (RequestId id = 1; id <= 60; ++id) {
-    desk.request(id);
-    while (desk.count<Refuse>(id) + desk.count<Fail>(id) == 0) {
-      const bool bad = desk.engine_of(id) == 1;
-      desk.end(id, bad ? Result::engine_error : Result::served);
+    harness.request(id);
+    while (harness.count<Reject>(id) + harness.count<Fail>(id) == 0) {
+      const bool bad = harness.engine_of(id) == 1;
+      harness.end(id, bad ? AttemptResult::engine_error : AttemptResult::served);
       if (!bad) break;
     }
   }
-  const int before = desk.sends_to(1);
+  const int before = harness.sends_to(1);
   EXPECT_LE(before - well, 4);
-  desk.advance(40s);
+  harness.advance(40s);
   for (RequestId id = 100; id < 260; ++id) {
-    desk.request(id);
-    desk.end(id, Result::served);
+    harness.request(id);
+    harness.end(id, AttemptResult::served);
   }
-  EXPECT_GT(desk.sends_to(1), before);
+  EXPECT_GT(harness.sends_to(1), before);
 }
 
 // Guards against an engine that takes work and answers nothing: its work is cut and repeated elsewhere.
-std::vector<RequestId> ask_until_three_are_at(Desk& desk, EngineId engine) {
+std::vector<RequestId> ask_until_three_are_at(ManagerHarness& harness, EngineId engine) {
   std::vector<RequestId> there;
   for (RequestId id = 1; there.size() < 3; ++id) {
-    desk.request(id);
-    if (desk.engine_of(id) == engine) there.push_back(id);
+    harness.request(id);
+    if (harness.engine_of(id) == engine) there.push_back(id);
   }
   return there;
 }
@@ -191,77 +191,77 @@
 // Two errors in a row eject an engine; those of the process that ran there before it restarted do not.
 TEST(Health, AnEarlierProcessSpeaksNotAgainstTheOneThatRunsNow) {
   for (const bool restarted : {false, true}) {
-    Desk desk(small_site());
-    desk.fleet({engine(1), engine(2)});
-    const std::vector<RequestId> at_first = ask_until_three_are_at(desk, 1);
-    if (restarted) desk.fleet({engine(1, EngineState::ready, desk.now())}, FleetScope::delta);
-    for (const RequestId id : at_first) desk.end(id, Result::reset);
-    EXPECT_EQ(desk.logged("engine 1 shunned"), !restarted);
+    ManagerHarness harness(small_site());
+    harness.fleet({engine(1), engine(2)});
+    const std::vector<RequestId> at_first = ask_until_three_are_at(harness, 1);
+    if (restarted) harness.fleet({engine(1, EngineState::ready, harness.now())}, EndpointUpdate::delta);
+    for (const RequestId id : at_first) harness.end(id, AttemptResult::reset);
+    EXPECT_EQ(harness.logged("engine 1 shunned"), !restarted);
   }
 }
 
 // Gone and ready again without a told start: another process, too.
 TEST(Health, AnEngineThatWasGoneIsAnotherProcessWhenItIsReadyAgain) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2)});
-  const std::vector<RequestId> at_first = ask_until_three_are_at(desk, 1);
-  desk.fleet({engine(1, EngineState::gone)}, FleetScope::delta);
-  desk.fleet({engine(1)}, FleetScope::delta);
-  for (const RequestId id : at_first) desk.end(id, Result::reset);
-  EXPECT_FALSE(desk.logged("engine 1 shunned"));
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2)});
+  const std::vector<RequestId> at_first = ask_until_three_are_at(harness, 1);
+  harness.fleet({engine(1, EngineState::removed)}, EndpointUpdate::delta);
+  harness.fleet({engine(1)}, EndpointUpdate::delta);
+  for (const RequestId id : at_first) harness.end(id, AttemptResult::reset);
+  EXPECT_FALSE(harness.logged("engine 1 shunned"));
 }
 
 TEST(Health, WorkOnASilentEngineIsRepeatedElsewhere) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2), engine(3)});
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2), engine(3)});
   RequestId id = 1;
   for (; id <= 30; ++id) {
-    desk.request(id);
-    desk.end(id, Result::served);
+    harness.request(id);
+    harness.end(id, AttemptResult::served);
   }
-  desk.request(id);
-  desk.request(id + 1);
-  desk.request(id + 2);
-  const RequestId lost = desk.engine_of(id) == 1 ? id : desk.engine_of(id + 1) == 1 ? id + 1 : id + 2;
+  harness.request(id);
+  harness.request(id + 1);
+  harness.request(id + 2);
+  const RequestId lost = harness.engine_of(id) == 1 ? id : harness.engine_of(id + 1) == 1 ? id + 1 : id + 2;
   for (RequestId other = id; other < id + 3; ++other) {
-    if (other != lost) desk.end(other, Result::served);
+    if (other != lost) harness.end(other, AttemptResult::served);
   }
-  desk.advance(1s);
-  ASSERT_EQ(desk.count<Cancel>(lost), 1);
-  desk.end(lost, Result::cancelled);
-  EXPECT_EQ(desk.sends(lost), 2);
-  EXPECT_NE(desk.engine_of(lost), 1U);
+  harness.advance(1s);
+  ASSERT_EQ(harness.count<Cancel>(lost), 1);
+  harness.end(lost, AttemptResult::cancelled);
+  EXPECT_EQ(harness.sends(lost), 2);
+  EXPECT_NE(harness.engine_of(lost), 1U);
 }
 
 TEST(Attempts, WhatNeverRanIsTriedElsewhereAtOnce) {
-  Desk desk(small_site());
-  desk.fleet({engine(1), engine(2)});
-  desk.request(1);
-  const EngineId first = desk.engine_of(1);
-  desk.end(1, Result::connect_failed);
-  EXPECT_EQ(desk.sends(1), 2);
-  EXPECT_NE(desk.engine_of(1), first);
+  ManagerHarness harness(small_site());
+  harness.fleet({engine(1), engine(2)});
+  harness.request(1);
+  const EngineId first = harness.engine_of(1);
+  harness.end(1, AttemptResult::connect_failed);
+  EXPECT_EQ(harness.sends(1), 2);
+  EXPECT_NE(harness.engine_of(1), first);
 }
 
 TEST(Determinism, TheSameEventsGiveTheSameActionsBesideAnotherInstance) {
-  const auto play = [](Desk* other) {
-    Desk desk(small_site());
-    desk.fleet({engine(1), engine(2)});
+  const auto play = [](ManagerHarness* other) {
+    ManagerHarness harness(small_site());
+    harness.fleet({engine(1), engine(2)});
     for (RequestId id = 1; id < 80; ++id) {
-      desk.request(id, id % 2, std::chrono::milliseconds(20 * id), 0, 5s);
+      harness.request(id, id % 2, std::chrono::milliseconds(20 * id), 0, 5s);
       if (other != nullptr) other->request(id);
-      if (desk.sends(id) > 0 && id % 3 != 0)
-        desk.end(id, id % 7 == 0 ? Result::engine_error : Result::served);
-      desk.advance(40ms);
+      if (harness.sends(id) > 0 && id % 3 != 0)
+        harness.end(id, id % 7 == 0 ? AttemptResult::engine_error : AttemptResult::served);
+      harness.advance(40ms);
     }
     std::vector<std::size_t> kinds;
-    for (const auto& [at, action] : desk.log()) {
+    for (const auto& [at, action] : harness.log()) {
       kinds.push_back(action.index());
       if (const auto* send = std::get_if<Send>(&action)) kinds.push_back(send->engine);
     }
     return kinds;
   };
-  Desk other(small_site());
+  ManagerHarness other(small_site());
   other.fleet({engine(1)});
   const auto alone = play(nullptr);
   EXPECT_GT(alone.size(), 80U);
@@ -275,12 +275,12 @@
     if (variant == 1) s.kinds = {{0, 0}};
     if (variant == 2) s.classes[0].threads = 0;
     if (variant == 3) s.classes[0].allowed_kinds.emplace();
-    if (variant == 4) s.instances = 0, s.fall_multiple = -1, s.clock_step = 0s;
-    Desk desk(s);
-    desk.fleet({engine(1), engine(2)});
-    desk.handle(RequestArrived{1, 0, 9, 7, 1s, Duration{-5}, -1.0, 0.0, false});
-    desk.advance(3s);
-    EXPECT_EQ(desk.count<Refuse>(1) + desk.count<Fail>(1), 1) << "variant " << variant;
+    if (variant == 4) s.instances = 0, s.overload_multiple = -1, s.clock_step = 0s;
+    ManagerHarness harness(s);
+    harness.fleet({engine(1), engine(2)});
+    harness.handle(RequestArrived{1, 0, 9, 7, 1s, Duration{-5}, -1.0, 0.0, false});
+    harness.advance(3s);
+    EXPECT_EQ(harness.count<Reject>(1) + harness.count<Fail>(1), 1) << "variant " << variant;
   }
 }
 
--- a/tests/explorer/explorer_test.cpp
+++ b/tests/explorer/explorer_test.cpp
@@ -2,9 +2,9 @@
 // merges goes the same way.
 #include <gtest/gtest.h>
 
-#include "lab/explore/history.hpp"
+#include "simulation/explorer/history.hpp"
 
-namespace paddlestand::explore {
+namespace paddlestand::explorer {
 namespace {
 
 Scope tiny(std::size_t which) { return scopes_of(Size::tiny).at(which); }
@@ -13,7 +13,7 @@
   for (const Scope& scope : scopes_of(Size::tiny)) {
     const Report report = search(scope, {}, {});
     EXPECT_TRUE(report.emptied) << scope.name;
-    EXPECT_FALSE(report.found) << scope.name << ": " << report.found->breaches.front().what;
+    EXPECT_FALSE(report.found) << scope.name << ": " << report.found->violations.front().what;
     EXPECT_GT(report.settled, 100U) << scope.name;
   }
 }
@@ -43,26 +43,26 @@
 TEST(Explore, OrderOfUnrelatedMovesAndNamesOfEnginesAreNoPartOfAState) {
   const Scope scope = scopes_of(Size::small).at(2);  // safe and unsafe
   const auto shared = std::make_shared<const Scope>(scope);
-  World a(shared), b(shared);
-  for (const Move& move :
-       {Move{Act::ask, 0, 0}, Move{Act::ask, 0, 1}, Move{Act::link_up, 0, 1}, Move{Act::link_up, 0, 2}})
+  ModelState a(shared), b(shared);
+  for (const Move& move : {Move{Step::ask, 0, 0}, Move{Step::ask, 0, 1}, Move{Step::channel_opened, 0, 1},
+                           Move{Step::channel_opened, 0, 2}})
     ASSERT_TRUE(a.make(move).empty());
-  for (const Move& move :
-       {Move{Act::ask, 0, 0}, Move{Act::ask, 0, 1}, Move{Act::link_up, 0, 2}, Move{Act::link_up, 0, 1}})
+  for (const Move& move : {Move{Step::ask, 0, 0}, Move{Step::ask, 0, 1}, Move{Step::channel_opened, 0, 2},
+                           Move{Step::channel_opened, 0, 1}})
     ASSERT_TRUE(b.make(move).empty());
   EXPECT_EQ(a.digest(), b.digest());
-  ASSERT_TRUE(a.make({Act::complete, 0, 1}).empty());
+  ASSERT_TRUE(a.make({Step::complete, 0, 1}).empty());
   EXPECT_NE(a.digest(), b.digest());
-  ASSERT_TRUE(b.make({Act::complete, 0, 1}).empty());
+  ASSERT_TRUE(b.make({Step::complete, 0, 1}).empty());
   EXPECT_EQ(a.digest(), b.digest());
 }
 
 TEST(Explore, ACopyGoesTheSameWay) {
-  World first(std::make_shared<const Scope>(tiny(0)));
+  ModelState first(std::make_shared<const Scope>(tiny(0)));
   for (int i = 0; i < 400; ++i) {
     const std::vector<Move> moves = first.moves();
     if (moves.empty()) break;
-    World copy = first;
+    ModelState copy = first;
     const Move move = moves[static_cast<std::size_t>(i) * 7 % moves.size()];
     EXPECT_EQ(first.make(move).size(), copy.make(move).size());
     ASSERT_EQ(first.digest(), copy.digest());
@@ -70,7 +70,8 @@
 }
 
 TEST(Explore, AHistoryIsReadBackAsItWasWritten) {
-  History history{"one safe", "none", {{Act::ask, 0, 0}, {Act::link_up, 0, 1}, {Act::complete, 0, 1}}};
+  History history{
+      "one safe", "none", {{Step::ask, 0, 0}, {Step::channel_opened, 0, 1}, {Step::complete, 0, 1}}};
   const std::string text = text_of(history, {});
   EXPECT_NE(text.find("client 0 asks query 1, safe"), std::string::npos) << text;
   EXPECT_NE(text.find("query 1 is answered: served"), std::string::npos) << text;
@@ -97,17 +98,17 @@
 
 TEST(Explore, MovesThatAreNotPossibleArePassedOverAndNoMoreThanThat) {
   const Played played =
-      play(tiny(0), {{Act::complete, 0, 9}, {Act::ask, 7, 0}, {Act::ask, 0, 0}, {Act::ask, 0, 0}});
-  EXPECT_EQ(played.moves, (std::vector<Move>{{Act::ask, 0, 0}}));
+      play(tiny(0), {{Step::complete, 0, 9}, {Step::ask, 7, 0}, {Step::ask, 0, 0}, {Step::ask, 0, 0}});
+  EXPECT_EQ(played.moves, (std::vector<Move>{{Step::ask, 0, 0}}));
 }
 
-TEST(Walk, TheSameSeedGivesTheSameWalkAndKeepsEveryPromise) {
+TEST(StateWalk, TheSameSeedGivesTheSameWalkAndKeepsEveryPromise) {
   const WalkReport a = walk(walk_scope(), 20'000, 3000, 5, {}), b = walk(walk_scope(), 20'000, 3000, 5, {});
   EXPECT_EQ(a.acts, b.acts);
   EXPECT_EQ(a.cases, b.cases);
-  EXPECT_FALSE(a.found) << a.found->breaches.front().what;
+  EXPECT_FALSE(a.found) << a.found->violations.front().what;
   EXPECT_GT(a.queries, 1000U);
 }
 
 }  // namespace
-}  // namespace paddlestand::explore
+}  // namespace paddlestand::explorer
--- a/tests/explorer/found_test.cpp
+++ b/tests/explorer/found_test.cpp
@@ -1,11 +1,11 @@
-// Histories that the search found, in the code as it shipped or with a seeded defect. Built over the heart
-// with defects: each must break its promise with its defect on, and none with it off.
+// Histories that the search found, in the code as it shipped or with a seeded defect. Built over the core
+// with defects: each must break its invariant with its defect on, and none with it off.
 #include <gtest/gtest.h>
 
-#include "core/seeded.hpp"
-#include "lab/explore/history.hpp"
+#include "core/seeded_defects.hpp"
+#include "simulation/explorer/history.hpp"
 
-namespace paddlestand::explore {
+namespace paddlestand::explorer {
 namespace {
 
 void keeps(const std::string& scope_name, const std::string& defect, const std::vector<Move>& moves) {
@@ -13,15 +13,15 @@
   ASSERT_TRUE(scope) << scope_name;
   core::defect_on = core::Defect::none;
   const Played mended = play_out(*scope, moves);
-  EXPECT_TRUE(mended.breaches.empty()) << mended.breaches.front().what;
+  EXPECT_TRUE(mended.violations.empty()) << mended.violations.front().what;
   for (std::size_t i = 0; i < core::defect_names.size(); ++i)
     if (core::defect_names[i] == defect) core::defect_on = static_cast<core::Defect>(i);
   EXPECT_NE(core::defect_on, core::Defect::none) << defect;
-  EXPECT_FALSE(play_out(*scope, moves).breaches.empty()) << defect << " is not seen any more";
+  EXPECT_FALSE(play_out(*scope, moves).violations.empty()) << defect << " is not seen any more";
   core::defect_on = core::Defect::none;
 }
 
 #include "found_histories.inc"
 
 }  // namespace
-}  // namespace paddlestand::explore
+}  // namespace paddlestand::explorer
--- a/tests/faults/call_faults.cpp
+++ b/tests/faults/call_faults.cpp
@@ -37,11 +37,11 @@
 
 namespace {
 
-enum class Effect { error, short_transfer, broken, offset };
+enum class HostAction { error, short_transfer, broken, offset };
 
 struct Rule {
   std::string call;
-  Effect effect = Effect::error;
+  HostAction effect = HostAction::error;
   int error_number = 0;
   double probability = 0, from = 0, until = 1e18;
   double offset = 0;
@@ -94,12 +94,12 @@
   rule.call = call;
   const std::string effect = what;
   if (effect == "short") {
-    rule.effect = Effect::short_transfer;
+    rule.effect = HostAction::short_transfer;
   } else if (effect.rfind("broken:", 0) == 0) {
-    rule.effect = Effect::broken;
+    rule.effect = HostAction::broken;
     rule.error_number = error_number_of(effect.substr(7));
   } else if (effect.rfind("offset:", 0) == 0) {
-    rule.effect = Effect::offset;
+    rule.effect = HostAction::offset;
     rule.offset = std::strtod(effect.c_str() + 7, nullptr);
   } else {
     rule.error_number = error_number_of(effect);
@@ -144,7 +144,7 @@
     const double now = monotonic_seconds() - began_;
     double offset = 0;
     for (const Rule& rule : rules_)
-      if (rule.effect == Effect::offset && now >= rule.from && now < rule.until) offset += rule.offset;
+      if (rule.effect == HostAction::offset && now >= rule.from && now < rule.until) offset += rule.offset;
     return offset;
   }
 
@@ -200,11 +200,11 @@
 bool fails(const char* call, int socket, std::size_t* most) {
   const Rule* rule = Faults::instance().drawn(call);
   if (rule == nullptr) return false;
-  if (rule->effect == Effect::short_transfer) {
+  if (rule->effect == HostAction::short_transfer) {
     if (most != nullptr && *most > 3) *most = 3;
     return false;
   }
-  if (rule->effect == Effect::broken) Faults::instance().break_connection(socket);
+  if (rule->effect == HostAction::broken) Faults::instance().break_connection(socket);
   errno = rule->error_number;
   return true;
 }
--- a/tests/faults/clients.cpp
+++ b/tests/faults/clients.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::int64_t millisecond = 1'000'000;
 constexpr std::int64_t answer_slack =
-    700 * millisecond;  // beyond the client's patience: 0.5 s, and the machine's own
+    700 * millisecond;  // beyond the client's client timeout: 0.5 s, and the machine's own
 constexpr std::int64_t rest_life = 3800 * millisecond;  // clients close what was idle for 4 s
 constexpr std::int64_t crowd_period = 100 * millisecond;  // between new idle connections, one to each manager
 constexpr std::uint32_t most_open = 8;
@@ -134,7 +134,7 @@
     return ::recv(seat.connection.socket(), &next, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
   }
 
-  std::string request(std::int64_t id, std::uint64_t trace, std::int64_t patience_ms) {
+  std::string request(std::int64_t id, std::uint64_t trace, std::int64_t client_timeout_ms) {
     const double kind = share();
     std::string more;
     const char* name = "lookup";
@@ -146,8 +146,9 @@
     }
     class_name_ = name;
     return "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"method\":\"" + name +
-           "\",\"params\":{\"trace\":\"" + hex(trace) + "\",\"patience\":" + std::to_string(patience_ms) +
-           ",\"weight\":20,\"content\":\"" + base64("SELECT 1 FROM sales_1.orders") + "\"" + more + "}}\n";
+           "\",\"params\":{\"trace\":\"" + hex(trace) +
+           "\",\"patience\":" + std::to_string(client_timeout_ms) + ",\"weight\":20,\"content\":\"" +
+           base64("SELECT 1 FROM sales_1.orders") + "\"" + more + "}}\n";
   }
 
   void ask(Seat& seat, int requests) {
@@ -158,15 +159,15 @@
       Open open;
       open.trace = (std::uniform_int_distribution<std::uint64_t>()(random_) & 0x00ffffffffffffffU) |
                    (std::uint64_t{options_.number} << 56U);
-      const std::int64_t patience_ms = between_ms(share() < 0.1 ? 40 : 250, 1200) / millisecond;
+      const std::int64_t client_timeout_ms = between_ms(share() < 0.1 ? 40 : 250, 1200) / millisecond;
       const std::int64_t id = ++seat.last_id;
-      bytes += request(id, open.trace, patience_ms);
+      bytes += request(id, open.trace, client_timeout_ms);
       open.began = monotonic_now();
-      RunEvent asked{EventKind::asked, 0,         open.trace, seat.manager, patience_ms,
+      RunEvent asked{EventKind::asked, 0,         open.trace, seat.manager, client_timeout_ms,
                      open.began,       seat.port, first,      class_name_};
       seat.unwritten[id] = asked;
       if (options_.misbehaves && share() < chance_cancel) open.cancels_at = open.began + between_ms(0, 300);
-      open.gives_up_at = open.began + patience_ms * millisecond + answer_slack;
+      open.gives_up_at = open.began + client_timeout_ms * millisecond + answer_slack;
       seat.open.emplace(id, open);
       ids.push_back(id);
     }
--- a/tests/faults/discovery.cpp
+++ b/tests/faults/discovery.cpp
@@ -22,10 +22,9 @@
 
 }  // namespace
 
-Discovery::Discovery(const Endpoint& first, const Endpoint& second,
-                     std::vector<command_channel::Record> engines)
+Discovery::Discovery(const Endpoint& first, const Endpoint& second, std::vector<discovery::Record> engines)
     : at_{first, second} {
-  for (const command_channel::Record& one : engines) engines_[one.entry.engine] = one;
+  for (const discovery::Record& one : engines) engines_[one.entry.engine] = one;
   events_.push_back({1, true, std::move(engines)});
   listeners_[0] = listen_on(first);
   thread_ = std::thread([this] { run(); });
@@ -52,7 +51,7 @@
   for (Watch& watch : watches_) watch.silent = true;
 }
 
-void Discovery::change(const command_channel::Record& engine) {
+void Discovery::change(const discovery::Record& engine) {
   const std::lock_guard lock(mutex_);
   engines_[engine.entry.engine] = engine;
   events_.push_back({events_.size() + 1, false, {engine}});
@@ -65,7 +64,7 @@
                     ",\"nodes\":{\"generation\":1,\"reset\":true,\"instances\":[";
   bool first = true;
   for (const auto& [id, one] : engines_) {
-    if (one.entry.state == EngineState::gone) continue;
+    if (one.entry.state == EngineState::removed) continue;
     char text[16];
     std::snprintf(text, sizeof(text), "s-%08x", id);
     out += std::string(first ? "" : ",") + "{\"instanceId\":\"" + text + "\",\"hostPort\":\"" +
@@ -104,13 +103,13 @@
   }
   if (!watch.subscribed || watch.silent || watch.address != served_) return;
   std::string bytes;
-  for (const command_channel::Event& event : events_) {
+  for (const discovery::Event& event : events_) {
     if (event.number <= watch.told) continue;
-    command_channel::put_event(bytes, event);
+    discovery::put_event(bytes, event);
     watch.told = event.number;
   }
   if (now >= watch.beat_at) {
-    command_channel::put_beat(bytes, watch.told);
+    discovery::put_beat(bytes, watch.told);
     watch.beat_at = now + heartbeat_period;
   }
   watch.connection.queue(bytes);
--- a/tests/faults/discovery.hpp
+++ b/tests/faults/discovery.hpp
@@ -9,7 +9,7 @@
 #include <thread>
 #include <vector>
 
-#include "protocol/command_channel/events.hpp"
+#include "protocol/discovery/events.hpp"
 #include "sockets.hpp"
 
 namespace paddlestand::faults {
@@ -17,7 +17,7 @@
 class Discovery {
  public:
   /// Knows `engines` from the start, as event 1.
-  Discovery(const Endpoint& first, const Endpoint& second, std::vector<command_channel::Record> engines);
+  Discovery(const Endpoint& first, const Endpoint& second, std::vector<discovery::Record> engines);
   ~Discovery();
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -27,7 +27,7 @@
   void move();
   /// Says nothing any more on connections that are open; new ones are served.
   void fall_silent();
-  void change(const command_channel::Record& engine);
+  void change(const discovery::Record& engine);
   /// The "known" member of a configuration, as JSON.
   [[nodiscard]] std::string known() const;
 
@@ -48,8 +48,8 @@
   std::size_t served_ = 0;
   int listeners_[2] = {-1, -1};
   mutable std::mutex mutex_;
-  std::map<EngineId, command_channel::Record> engines_;
-  std::vector<command_channel::Event> events_;
+  std::map<EngineId, discovery::Record> engines_;
+  std::vector<discovery::Event> events_;
   std::vector<Watch> watches_;
   std::atomic<bool> stopped_ = false;
   std::thread thread_;
--- a/tests/faults/event_log.hpp
+++ b/tests/faults/event_log.hpp
@@ -19,7 +19,7 @@
   cancelled,  // by a client: its forget is written whole
   left,  // by a client: it closed its connection with the request open
   ended,  // by the manager's end of the connection, with the request open; `detail`: shutdown or reset
-  unanswered,  // long after the client's patience
+  unanswered,  // long after the client's client timeout
   begun,  // at an engine: the request came whole
   rejected,  // by an engine, before it ran
   attempt_ended,  // at an engine; `detail`: answered, cancelled or closed
@@ -38,7 +38,7 @@
   std::int64_t at{};  // ns
   std::uint64_t trace{};  // of a request; zero: none
   std::uint32_t subject{};  // manager or engine
-  std::int64_t value{};  // asked: patience, ms; begun: the time that the engine was given, ms
+  std::int64_t value{};  // asked: client timeout, ms; begun: the time that the engine was given, ms
   std::int64_t began{};  // asked: just before the first byte was written; left, ended: when it was asked
   std::uint32_t port{};  // the client's, on the connection; begun, attempt_ended: the engine's connection
   bool first = false;  // asked: one of the first requests on its connection
