--- a/tests/faults/run.cpp
+++ b/tests/faults/run.cpp
@@ -103,8 +103,8 @@
                           std::to_string(profile_.late), "--hang-from", std::to_string(hang_from),
                           "--hang-until", std::to_string(hang_until), profile_.deaf ? "--deaf" : "--hears");
   }
-  static command_channel::Record record_of(std::uint32_t place) {
-    command_channel::Record record;
+  static discovery::Record record_of(std::uint32_t place) {
+    discovery::Record record;
     record.entry.engine = first_engine + place;
     record.entry.state = EngineState::ready;
     record.entry.weight = 1;
@@ -114,7 +114,7 @@
     return record;
   }
   void start_engines() {
-    std::vector<command_channel::Record> records;
+    std::vector<discovery::Record> records;
     for (std::uint32_t i = 0; i < profile_.engines; ++i) {
       const bool hangs = profile_.hangs && i % 4 == 0;
       const double from = between(2, options_.seconds / 2);
@@ -339,7 +339,7 @@
       start_engine(place, 0, 0);
       std::swap(*std::next(engines_.begin(), place), engines_.back());
       auto record = record_of(place);
-      record.entry.state = EngineState::gone;
+      record.entry.state = EngineState::removed;
       const std::int64_t gone_at = seconds(between(0, 0.2));
       after(gone_at, [this, record] { discovery_->change(record); });
       record.entry.state = EngineState::ready;
--- a/tests/hosted.hpp
+++ b/tests/hosted.hpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 // Long enough for any machine; nothing is asserted of how long things take.
-inline constexpr int patience_ms = 20000;
+inline constexpr int client_timeout_ms = 20000;
 
 template <typename Hosted>
 class Thread {
@@ -50,7 +50,7 @@
 
 // Until it is so, or long has passed.
 inline bool comes_true(const std::function<bool()>& what) {
-  for (int i = 0; i < patience_ms / 5; ++i) {
+  for (int i = 0; i < client_timeout_ms / 5; ++i) {
     if (what()) return true;
     std::this_thread::sleep_for(5ms);
   }
--- a/tests/incidents/earlier_ends_test.cpp
+++ b/tests/incidents/earlier_ends_test.cpp
@@ -59,8 +59,8 @@
 // new one, to the process that is there now.
 TEST_F(OneEngine, StartedAnewIsSpokenToOnNewConnections) {
   const std::uint64_t earlier = engine().last_connection();
-  const Told told(channel());
-  auto gone = engine_at(1, engine().port(), EngineState::gone);
+  const Told told(discovery_server());
+  auto gone = engine_at(1, engine().port(), EngineState::removed);
   auto ready = engine_at(1, engine().port());
   ready.entry.started = std::chrono::system_clock::now().time_since_epoch() - std::chrono::hours(1);
   told.event(2, {gone});
--- a/tests/incidents/incident_run.hpp
+++ b/tests/incidents/incident_run.hpp
@@ -61,7 +61,7 @@
     return outcome;
   }
   bool run_until(const std::function<bool()>& done, const OnFrame& on_frame) {
-    const auto end = Clock::now() + std::chrono::milliseconds(patience_ms);
+    const auto end = Clock::now() + std::chrono::milliseconds(client_timeout_ms);
     while (!done()) {
       if (Clock::now() > end) return false;
       for (CountingEngine& one : engines_)
@@ -86,7 +86,7 @@
   }
   ManagerProcess& manager() { return *manager_; }
   RawClient& client() { return *client_; }
-  Listener& channel() { return channel_; }
+  Listener& discovery_server() { return channel_; }
   int next_number() { return ++last_number_; }
   // Since just before the manager was started.
   void sleep_until(Duration since_start) const {
--- a/tests/incidents/stall_test.cpp
+++ b/tests/incidents/stall_test.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::uint64_t asked_id = 0x7700000000000003;
-constexpr int asked_patience_ms = 3000;
+constexpr int requested_client_timeout_ms = 3000;
 constexpr int slack_ms = 150;
 
 class StalledManager : public IncidentRun {
@@ -33,7 +33,8 @@
       if (frame.code == static_cast<std::uint8_t>(engine_frames::Command::request)) {
         const auto told_ms = engine_frames::count_in(engine_frames::field(frame.fields, "ms").value_or(""));
         const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - asked);
-        EXPECT_LE(told_ms.value_or(asked_patience_ms), asked_patience_ms - waited.count() + slack_ms)
+        EXPECT_LE(told_ms.value_or(requested_client_timeout_ms),
+                  requested_client_timeout_ms - waited.count() + slack_ms)
             << "waited " << waited.count() << " ms";
       }
       serve_all(engine, on, frame);
@@ -50,7 +51,8 @@
     const std::uint64_t id = asked_id + i;
     manager().stop();
     const auto asked = Clock::now();
-    ASSERT_TRUE(client().wire().write(RawClient::line(next_number(), id, "report", "", asked_patience_ms)));
+    ASSERT_TRUE(
+        client().wire().write(RawClient::line(next_number(), id, "report", "", requested_client_timeout_ms)));
     std::this_thread::sleep_for(300ms);
     manager().go_on();
     expect_true_deadline(client(), asked);
@@ -68,7 +70,7 @@
   auto ask_together = [&, id = asked_id + 100]() mutable {
     std::string lines;
     for (unsigned k = 0; k < requests; ++k)
-      lines += RawClient::line(next_number(), ++id, "report", "", asked_patience_ms);
+      lines += RawClient::line(next_number(), ++id, "report", "", requested_client_timeout_ms);
     EXPECT_TRUE(client().wire().write(lines));
     return Clock::now();
   };
@@ -108,7 +110,7 @@
   manager().stop();
   const auto asked = Clock::now();
   RawClient fresh(manager().port());
-  ASSERT_TRUE(fresh.wire().write(RawClient::line(1, asked_id, "report", "", asked_patience_ms)));
+  ASSERT_TRUE(fresh.wire().write(RawClient::line(1, asked_id, "report", "", requested_client_timeout_ms)));
   sleep_until(1250ms);
   manager().go_on();
   expect_true_deadline(fresh, asked);
@@ -124,8 +126,8 @@
   sleep_until(950ms);
   manager().stop();
   const auto asked = Clock::now();
-  ASSERT_TRUE(
-      client().wire().write(RawClient::line(next_number(), asked_id, "report", "", asked_patience_ms)));
+  ASSERT_TRUE(client().wire().write(
+      RawClient::line(next_number(), asked_id, "report", "", requested_client_timeout_ms)));
   sleep_until(1250ms);
   manager().go_on();
   expect_true_deadline(client(), asked);
--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -11,12 +11,12 @@
  protected:
   PlatformConfig with_unsafe() {
     PlatformConfig settings = config();
-    settings.core.module.classes[0].repeat = Repeat::unsafe;
+    settings.core.module.classes[0].repeat = Idempotency::non_idempotent;
     settings.core.module.may_cancel = false;  // attempts stay out, however long a test takes
     return settings;
   }
-  static std::size_t channels(Served& served) {
-    return served.run([](Platform& p) { return p.engine_connections(); });
+  static std::size_t discovery_servers(Served& served) {
+    return served.run([](PlatformServer& p) { return p.engine_connections(); });
   }
   bool nobody_is_asked() {
     EngineSide first(engines_[0], 0), second(engines_[1], 0);
@@ -107,9 +107,9 @@
     EXPECT_EQ(client.outcome(), "served:a\tb\tc\n") << id;
   }
   late.let_in();
-  EXPECT_TRUE(comes_true([&] { return served.counts().links == 0; }));
+  EXPECT_TRUE(comes_true([&] { return served.counts().channels == 0; }));
   const std::size_t open = sides.size();
-  EXPECT_TRUE(comes_true([&] { return channels(served) <= open; }));
+  EXPECT_TRUE(comes_true([&] { return discovery_servers(served) <= open; }));
   for (;;) {
     EngineSide side(late, 1500);
     if (!side.open()) break;
@@ -122,7 +122,7 @@
 TEST_F(Attempts, ADrainWhileTheConnectionOpensSendsTheRequestElsewhere) {
   Full opening;
   PlatformConfig settings = with_unsafe();
-  settings.core.connect_time_out = 20s;
+  settings.core.connect_timeout = 20s;
   settings.known[0].records = {engine_at(1, opening.port())};
   Served served(std::move(settings));
   Told told(channel_);
@@ -137,7 +137,7 @@
   opening.let_in();
   EngineSide late(opening, 1500);
   EXPECT_TRUE(!late.open() || !late.next(0));
-  EXPECT_EQ(served.counts().links, 0U);
+  EXPECT_EQ(served.counts().channels, 0U);
 }
 
 // ---- Hand-overs ----
@@ -155,7 +155,7 @@
   resting.answer(0, 0x81, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
   // On the loop: both are there before it looks, the request's socket first.
-  served.run([&](Platform&) {
+  served.run([&](PlatformServer&) {
     client.ask(2, 0x82);
     resting.wire().shut_down();
     return 0;
@@ -176,13 +176,13 @@
   client.ask(1, 0x91);
   EngineSide engine = whichever();
   ASSERT_TRUE(engine.next());
-  served.run([&](Platform&) {
+  served.run([&](PlatformServer&) {
     engine.answer(0, 0x91, "parts=1", "a\tb\tc\n");
     engine.wire().close();
     return 0;
   });
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
-  EXPECT_TRUE(comes_true([&] { return channels(served) == 0; }));
+  EXPECT_TRUE(comes_true([&] { return discovery_servers(served) == 0; }));
 }
 
 // A second copy of an answer, behind the next request on that connection: it is nobody's.
@@ -211,12 +211,12 @@
   Served served(config());
   std::optional<Told> told;
   told.emplace(channel_);
-  served.run([&](Platform&) {
+  served.run([&](PlatformServer&) {
     std::this_thread::sleep_for(2300ms);  // beyond two beats
     told->event(2, {engine_at(3, engines_[0].port())});
     return 0;
   });
-  const auto last = [&] { return served.run([](Platform& p) { return p.last_event(); }); };
+  const auto last = [&] { return served.run([](PlatformServer& p) { return p.last_event(); }); };
   if (!comes_true([&] { return last() == 2 || !told->wire.read(1); })) FAIL();
   if (last() == 2) return;
   Told again(channel_);
--- a/tests/platform/ends_test.cpp
+++ b/tests/platform/ends_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_TRUE(client.wire().ends_whole());
   EXPECT_FALSE(client.wire().was_reset());
   client.wire().close();
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.clients(); }) == 0; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.clients(); }) == 0; }));
 }
 
 TEST_F(Ends, ARequestBehindTheShutdownIsDroppedAndTheConnectionNotReset) {
@@ -39,7 +39,7 @@
   ASSERT_TRUE(request);
   EXPECT_EQ(request->id, 0x22U);
   EXPECT_TRUE(comes_true([&] {
-    return served.run([](Platform& p) { return p.dropped_bytes(); }) == RawClient::line(1, 0x21).size();
+    return served.run([](PlatformServer& p) { return p.dropped_bytes(); }) == RawClient::line(1, 0x21).size();
   }));
   EXPECT_TRUE(client.wire().ends_whole());
   EXPECT_FALSE(client.wire().was_reset());
@@ -53,7 +53,7 @@
   RawClient client(served.port());
   client.wire().write("noise\n");
   EXPECT_TRUE(client.wire().ends_whole());
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.clients(); }) == 0; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.clients(); }) == 0; }));
 }
 
 TEST_F(Ends, AClientThatGoesOnWritingBehindItsEndIsClosed) {
@@ -64,7 +64,7 @@
   std::size_t written = 0;
   while (written < 256 * more.size() && client.wire().write(more)) written += more.size();
   EXPECT_LT(written, 256 * more.size());
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.clients(); }) == 0; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.clients(); }) == 0; }));
 }
 
 // Each read ends inside a message, for longer than a whole message may take; each message itself comes soon.
@@ -111,7 +111,7 @@
 // request stands first is given up as well as the one that waits behind it.
 TEST_F(Ends, NothingIsSentForAClientThatLeftWhileTheConnectionWasOpening) {
   PlatformConfig settings = config();
-  settings.core.connect_time_out = 20s;
+  settings.core.connect_timeout = 20s;
   Full full;  // its queue of connections is full: none comes up until the test takes one
   settings.known[0].records[0].port = full.port();
   Served served(std::move(settings));
@@ -151,7 +151,7 @@
     one->wire().write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n");
   EXPECT_EQ(asked.outcome(), "done");
   EXPECT_EQ(reset.outcome(), "done");
-  served.run([&](Platform&) {
+  served.run([&](PlatformServer&) {
     asked.ask(2, 0x46);
     asked.wire().close();
     reset.ask(2, 0x47);
@@ -180,7 +180,7 @@
   // Each 64 KB as a line; what is beyond the sockets' own buffers stands at the manager.
   int id = 1;
   std::vector<EngineSide> sides;
-  while (served.run([](Platform& p) { return p.unread_bytes(); }) < 600 * 1024 && id < 200) {
+  while (served.run([](PlatformServer& p) { return p.unread_bytes(); }) < 600 * 1024 && id < 200) {
     ++id;
     client.ask(id, 0x51U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
@@ -232,7 +232,7 @@
       return false;
     }));
     std::erase_if(resting_, [](const EngineSide& side) { return !side.open(); });
-    served.run([&](Platform&) {
+    served.run([&](PlatformServer&) {
       for (const int what : order) {
         if (what == 0) engine.answer(0, trace, "parts=1", "a\tb\tc\n");
         if (what == 1) client.wire().write(forget_of(trace));
@@ -241,7 +241,7 @@
       }
       return 0;
     });
-    EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.clients(); }) == 0; }));
+    EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.clients(); }) == 0; }));
     EXPECT_EQ(served.counts().sessions, 0U);
     EXPECT_EQ(served.counts().attempts_out, 0U);
     resting_.push_back(std::move(engine));
@@ -254,24 +254,24 @@
   PlatformConfig settings = config();
   settings.limits.descriptors = 128;
   std::optional<Listener> down(std::in_place);
-  settings.channel.port = down->port();
+  settings.discovery_endpoint.port = down->port();
   down.reset();  // its port is nobody's
   const std::string path = ::testing::TempDir() + "paddlestand-crowd-" + std::to_string(::getpid()) + ".json";
   Served served(std::move(settings), path);
   std::vector<RawClient> silent;
   for (int i = 0; i < 300; ++i) silent.emplace_back(served.port());
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.clients(); }) >= 52; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.clients(); }) >= 52; }));
   std::ofstream(path) << config_text(channel_.port());
-  served.run([](Platform& p) { return p.reload(), 0; });
+  served.run([](PlatformServer& p) { return p.reload(), 0; });
   Told told(channel_);
   EXPECT_EQ(told.from, 1U);
   told.event(2, {engine_at(9, engines_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.last_event(); }) == 2; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.last_event(); }) == 2; }));
   RawClient usual(served.port());
   usual.ask(1, 0xa1);
   EngineSide engine(engines_[0]);
   ASSERT_TRUE(engine.next());
-  EXPECT_LE(served.run([](Platform& p) { return p.clients() + p.engine_connections(); }), 128U - 24U);
+  EXPECT_LE(served.run([](PlatformServer& p) { return p.clients() + p.engine_connections(); }), 128U - 24U);
   engine.answer(0, 0xa1, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(usual.outcome(), "served:a\tb\tc\n");
   ::unlink(path.c_str());
@@ -285,7 +285,7 @@
 TEST_F(Leaves, OneThatStartsWithoutACommandChannelIsReadyAndServes) {
   PlatformConfig settings = config();
   std::optional<Listener> down(std::in_place);
-  settings.channel.port = down->port();
+  settings.discovery_endpoint.port = down->port();
   down.reset();
   Served served(std::move(settings));
   RawClient client(served.port());
@@ -307,10 +307,10 @@
   PlatformConfig settings = config();
   for (ClassSettings& k : settings.core.module.classes) k.deadline = 400ms;
   std::optional<Listener> down(std::in_place);
-  settings.channel.port = down->port();
+  settings.discovery_endpoint.port = down->port();
   down.reset();
   boost::asio::io_context io(1);
-  Platform platform(io, std::move(settings), path, false);
+  PlatformServer platform(io, std::move(settings), path, false);
   platform.start();
   std::thread loop([&] { io.run(); });
   RawClient client(platform.port());
@@ -330,12 +330,12 @@
   Served served(config());
   const std::uint16_t port = served.port();
   std::vector<RawClient> clients;
-  served.run([&](Platform& p) {
+  served.run([&](PlatformServer& p) {
     for (int i = 0; i < 3; ++i) {
       clients.emplace_back(port);
       clients.back().ask(1, 0x61U + static_cast<unsigned>(i));
     }
-    p.take_no_more();
+    p.stop_accepting();
     return 0;
   });
   for (int i = 0; i < 3; ++i) {
@@ -355,11 +355,11 @@
     const std::uint16_t port = served.port();
     std::optional<RawClient> client;
     std::promise<void> closed;
-    std::function<void(Platform&, int)> after = [&](Platform& p, int left) {
-      if (left == 0) return p.take_no_more(), closed.set_value();
+    std::function<void(PlatformServer&, int)> after = [&](PlatformServer& p, int left) {
+      if (left == 0) return p.stop_accepting(), closed.set_value();
       boost::asio::post(p.io(), [&after, &p, left] { after(p, left - 1); });
     };
-    served.run([&](Platform& p) {
+    served.run([&](PlatformServer& p) {
       client.emplace(port);
       client->ask(1, 0x71);
       after(p, turns);
@@ -377,7 +377,7 @@
   PlatformConfig settings = config();
   settings.core.module.may_cancel = false;  // the attempt stays out, however long the test takes
   boost::asio::io_context io(1);
-  Platform platform(io, std::move(settings), "", false);
+  PlatformServer platform(io, std::move(settings), "", false);
   platform.start();
   std::thread loop([&] { io.run(); });
   RawClient rests(platform.port()), asks(platform.port());
@@ -409,7 +409,7 @@
     settings.core.module.classes[0].deadline = first;
     settings.core.module.classes[1].deadline = second;
     boost::asio::io_context io(1);
-    return Platform(io, std::move(settings), "", false).life_after_term();
+    return PlatformServer(io, std::move(settings), "", false).life_after_term();
   };
   EXPECT_EQ(life(800ms, 1200ms), 1900ms);
   EXPECT_EQ(life(800ms, 25s), 3700ms);
@@ -421,7 +421,7 @@
   PlatformConfig settings = config();
   for (ClassSettings& k : settings.core.module.classes) k.deadline = 400ms;
   boost::asio::io_context io(1);
-  Platform platform(io, std::move(settings), "", false);
+  PlatformServer platform(io, std::move(settings), "", false);
   platform.start();
   std::thread loop([&] { io.run(); });
   RawClient client(platform.port());
--- a/tests/platform/manager_process.hpp
+++ b/tests/platform/manager_process.hpp
@@ -20,7 +20,7 @@
 
 /// The settings of one manager before some engines: three classes that differ in what a repeat may do.
 inline std::string process_config(const std::vector<std::uint16_t>& engines, std::uint16_t listen,
-                                  std::uint16_t channel, std::uint32_t most_descriptors = 256,
+                                  std::uint16_t discovery_server, std::uint32_t most_descriptors = 256,
                                   std::uint32_t streams_per_connection = 8) {
   const auto class_named = [](const char* name, const char* repeat, const char* more) {
     return std::string("{\"name\":\"") + name +
@@ -39,7 +39,7 @@
   }
   return R"({"name":"n0","listen":"127.0.0.1:)" + std::to_string(listen) +
          R"(","seed":"10000041","limits":{"cores":1.0,"memory_mb":64,"sockets":)" +
-         std::to_string(most_descriptors) + R"(},"channel":"127.0.0.1:)" + std::to_string(channel) +
+         std::to_string(most_descriptors) + R"(},"channel":"127.0.0.1:)" + std::to_string(discovery_server) +
          R"(","known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"generation":1,"reset":true,"instances":[)" +
          instances +
          R"(]}}]},"settings":{"balancers":1,"position":0,"az":0,"areas":["here"],"flavors":["std"],)"
--- a/tests/platform/peers.hpp
+++ b/tests/platform/peers.hpp
@@ -15,7 +15,7 @@
 #include <set>
 #include <string>
 
-#include "platform/platform.hpp"
+#include "platform/platform_server.hpp"
 #include "protocol/base64.hpp"
 #include "tests/hosted.hpp"
 
@@ -65,7 +65,7 @@
     return true;
   }
   // What is there, waited for; nothing at the end.
-  std::optional<std::string> read(int wait_ms = patience_ms) const {
+  std::optional<std::string> read(int wait_ms = client_timeout_ms) const {
     pollfd one{socket_, POLLIN, 0};
     if (::poll(&one, 1, wait_ms) <= 0) return std::string{};
     char part[65536];
@@ -119,7 +119,7 @@
   Listener& operator=(const Listener&) = delete;
 
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  Wire accept(int wait_ms = patience_ms) const {
+  Wire accept(int wait_ms = client_timeout_ms) const {
     pollfd one{socket_, POLLIN, 0};
     if (::poll(&one, 1, wait_ms) <= 0) return Wire{};
     return Wire{::accept(socket_, nullptr, nullptr)};
@@ -162,12 +162,12 @@
 class EngineSide {
  public:
   EngineSide() : reader_(engine_frames::Side::manager) {}
-  explicit EngineSide(const Listener& listener, int wait_ms = patience_ms)
+  explicit EngineSide(const Listener& listener, int wait_ms = client_timeout_ms)
       : wire_(listener.accept(wait_ms)), reader_(engine_frames::Side::manager) {}
 
   [[nodiscard]] bool open() const { return wire_.open(); }
   // The next command, waited for; nothing at the end, or when none comes.
-  std::optional<engine_frames::Frame> next(int wait_ms = patience_ms) {
+  std::optional<engine_frames::Frame> next(int wait_ms = client_timeout_ms) {
     for (;;) {
       auto frame = reader_.next();
       if (auto* one = std::get_if<engine_frames::Frame>(&frame)) return std::move(*one);
@@ -211,17 +211,17 @@
   explicit RawClient(std::uint16_t port) : wire_(Wire::connect(port)) {}
 
   static std::string line(int id, std::uint64_t trace, const std::string& method = "report",
-                          const std::string& more = "", int patience_ms_ = 7000) {
+                          const std::string& more = "", int client_timeout_ms_ = 7000) {
     char hex[17];
     std::snprintf(hex, sizeof(hex), "%016llx", static_cast<unsigned long long>(trace));
     return R"({"jsonrpc":"2.0","id":)" + std::to_string(id) + R"(,"method":")" + method +
-           R"(","params":{"trace":")" + hex + R"(","patience":)" + std::to_string(patience_ms_) +
+           R"(","params":{"trace":")" + hex + R"(","patience":)" + std::to_string(client_timeout_ms_) +
            R"(,"weight":20,"content":")" + base64("SELECT 1 FROM a_1.b") + "\"" + more + "}}\n";
   }
   void ask(int id, std::uint64_t trace) const { EXPECT_TRUE(wire_.write(line(id, trace))); }
 
   // The next line as JSON; null at the end, or when none comes.
-  boost::json::value next(int wait_ms = patience_ms) {
+  boost::json::value next(int wait_ms = client_timeout_ms) {
     for (;;) {
       const auto end = bytes_.find('\n');
       if (end != std::string::npos) {
@@ -235,7 +235,7 @@
     }
   }
   // "served:<body>", "error:<code>", or "nothing".
-  std::string outcome(int wait_ms = patience_ms) {
+  std::string outcome(int wait_ms = client_timeout_ms) {
     const auto value = next(wait_ms);
     if (!value.is_object()) return "nothing";
     last_id_ = value.as_object().at("id").is_int64() ? value.as_object().at("id").as_int64() : 0;
@@ -261,20 +261,19 @@
   return R"({"jsonrpc":"2.0","method":"forget","params":{"trace":")" + std::string(hex) + "\"}}\n";
 }
 
-inline command_channel::Record engine_at(EngineId id, std::uint16_t port,
-                                         EngineState state = EngineState::ready) {
-  command_channel::Record record;
+inline discovery::Record engine_at(EngineId id, std::uint16_t port, EngineState state = EngineState::ready) {
+  discovery::Record record;
   record.entry = {id, state, 0, 0, 0, 1.0, {}};
   record.address = INADDR_LOOPBACK;
   record.port = port;
   return record;
 }
 
-inline PlatformConfig small_config(std::vector<command_channel::Record> engines, std::uint16_t channel) {
+inline PlatformConfig small_config(std::vector<discovery::Record> engines, std::uint16_t discovery_server) {
   PlatformConfig config;
   config.name = "test";
   config.listen = {INADDR_LOOPBACK, 0};
-  config.channel = {INADDR_LOOPBACK, channel};
+  config.discovery_endpoint = {INADDR_LOOPBACK, discovery_server};
   config.limits = {64, 1024};
   config.streams_per_connection = 32;
   config.report_names = {"utilization"};
@@ -283,31 +282,31 @@
   s.clock_step = 5ms;
   ClassSettings report;
   report.name = "report";
-  report.aim = 20s;
+  report.latency_objective = 20s;
   report.deadline = 20s;
-  report.worth = 1;
-  report.late_worth = 0.5;
+  report.priority_weight = 1;
+  report.late_answer_weight = 0.5;
   report.threads = 1;
   ClassSettings load = report;
   load.name = "load";
-  load.repeat = Repeat::keyed;
-  load.key_window = 20s;
-  load.in_turn = true;
+  load.repeat = Idempotency::idempotent_with_key;
+  load.idempotency_window = 20s;
+  load.ordered_by_key = true;
   s.classes = {report, load};
   s.kinds = {{8, 16384}};
   s.may_cancel = s.may_probe = true;
-  s.most_attempts = 3;
+  s.max_attempts = 3;
   s.drain_grace = 250ms;
-  s.cold_share = 0.3;
-  s.fall_multiple = 4;
-  s.fall_window = 1500ms;
-  config.core.links_per_engine = 512;
-  config.core.idle_links_per_engine = 0;
-  config.core.idle_link_life = 15s;
-  config.core.connect_time_out = 250ms;
-  config.core.probe_time_out = 250ms;
+  s.slow_start_capacity_share = 0.3;
+  s.overload_multiple = 4;
+  s.overload_window = 1500ms;
+  config.core.channels_per_engine = 512;
+  config.core.idle_channels_per_engine = 0;
+  config.core.idle_channel_lifetime = 15s;
+  config.core.connect_timeout = 250ms;
+  config.core.probe_timeout = 250ms;
   config.core.cancel_grace = 250ms;
-  command_channel::Event first;
+  discovery::Event first;
   first.number = 1;
   first.whole = true;
   first.records = std::move(engines);
@@ -317,23 +316,24 @@
 }
 
 // A configuration to be read again: of it, the command channel is taken up.
-inline std::string config_text(std::uint16_t channel) {
-  return R"({"name":"n","listen":"127.0.0.1:1","seed":"1","channel":"127.0.0.1:)" + std::to_string(channel) +
+inline std::string config_text(std::uint16_t discovery_server) {
+  return R"({"name":"n","listen":"127.0.0.1:1","seed":"1","channel":"127.0.0.1:)" +
+         std::to_string(discovery_server) +
          R"(","known":{"cursor":1,"cmds":[]},"settings":{"classes":[{"name":"report",)"
          R"("repeat":"pure"}],"permissions":{"multiplex":32,"conn_idle_ns":0,"dial_timeout_ns":0}}})";
 }
 
-class Served : public Thread<Platform> {
+class Served : public Thread<PlatformServer> {
  public:
   explicit Served(PlatformConfig config, std::string path = "")
       : Thread([&](auto& io) {
-          return std::make_unique<Platform>(io, std::move(config), std::move(path), false);
+          return std::make_unique<PlatformServer>(io, std::move(config), std::move(path), false);
         }) {}
   std::uint16_t port() {
-    return run([](Platform& p) { return p.port(); });
+    return run([](PlatformServer& p) { return p.port(); });
   }
   core::Counts counts() {
-    return run([](Platform& p) { return p.counts(); });
+    return run([](PlatformServer& p) { return p.counts(); });
   }
 };
 
@@ -350,12 +350,12 @@
     }
     for (const char c : bytes) from = from << 8U | static_cast<unsigned char>(c);
   }
-  void event(std::uint64_t number, std::vector<command_channel::Record> records) const {
-    command_channel::Event one;
+  void event(std::uint64_t number, std::vector<discovery::Record> records) const {
+    discovery::Event one;
     one.number = number;
     one.records = std::move(records);
     std::string bytes;
-    command_channel::put_event(bytes, one);
+    discovery::put_event(bytes, one);
     wire.write(bytes);
   }
 };
@@ -365,7 +365,7 @@
   explicit Platforms(std::size_t engines = 1) : engines_(engines) {}
 
   PlatformConfig config() {
-    std::vector<command_channel::Record> all;
+    std::vector<discovery::Record> all;
     for (std::size_t i = 0; i < engines_.size(); ++i)
       all.push_back(engine_at(static_cast<EngineId>(i + 1), engines_[i].port()));
     return small_config(std::move(all), channel_.port());
@@ -380,7 +380,7 @@
   TwoEngines() : Platforms(2) {}
   // The engine that the next query goes to.
   EngineSide whichever() {
-    for (int i = 0; i < patience_ms / 20; ++i) {
+    for (int i = 0; i < client_timeout_ms / 20; ++i) {
       for (const Listener& engine : engines_) {
         EngineSide side(engine, 10);
         if (side.open()) return side;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -78,8 +78,8 @@
     second.answer(0, trace, "parts=1,work=9", "x\ty\tz\n");
     EXPECT_EQ(client.outcome(), "served:x\ty\tz\n") << id;
     second.wire().close();
-    EXPECT_TRUE(
-        comes_true([&] { return served.run([](Platform& p) { return p.engine_connections(); }) == 0; }));
+    EXPECT_TRUE(comes_true(
+        [&] { return served.run([](PlatformServer& p) { return p.engine_connections(); }) == 0; }));
   }
 }
 
@@ -262,7 +262,7 @@
     for (int number = 1; number < 8; ++number)
       engine.answer(9, command->id, "part_no=" + std::to_string(number), page);
   }
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.clients(); }) == 0; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.clients(); }) == 0; }));
   EXPECT_EQ(served.counts().sessions, 0U);
 }
 
@@ -270,21 +270,21 @@
 
 TEST_F(TwoEngines, EventsAreTakenOnceAndAMissingOneIsAskedFor) {
   Served served(config());
-  const auto last = [&] { return served.run([](Platform& p) { return p.last_event(); }); };
+  const auto last = [&] { return served.run([](PlatformServer& p) { return p.last_event(); }); };
   Told told(channel_);
   EXPECT_EQ(told.from, 1U);
   told.event(2, {engine_at(2, engines_[1].port(), EngineState::draining)});
   told.event(2, {engine_at(2, engines_[1].port())});  // told twice: the second is passed over
   EXPECT_TRUE(comes_true([&] { return last() == 2; }));
-  told.event(4, {engine_at(1, engines_[0].port(), EngineState::gone)});
+  told.event(4, {engine_at(1, engines_[0].port(), EngineState::removed)});
   EXPECT_TRUE(told.wire.ends());
   Told again(channel_);
   EXPECT_EQ(again.from, 2U);
   std::string half;
-  command_channel::Event three;
+  discovery::Event three;
   three.number = 3;
   three.records = {engine_at(3, engines_[0].port())};
-  command_channel::put_event(half, three);
+  discovery::put_event(half, three);
   again.wire.write(half.substr(0, 20));
   again.wire.close();  // in the middle of an event
   Told third(channel_);
@@ -319,19 +319,19 @@
   Served served(config(), path);
   Told old(channel_);
   old.event(2, {engine_at(9, engines_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.last_event(); }) == 2; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.last_event(); }) == 2; }));
   RawClient client(served.port());
   client.ask(1, 0x900);
   EngineSide engine(engines_[0]);
   ASSERT_TRUE(engine.next());
   std::ofstream(path) << "{\"name\":";  // half written
-  served.run([](Platform& p) { return p.reload(), 0; });
+  served.run([](PlatformServer& p) { return p.reload(), 0; });
   Listener fresh;
   std::ofstream(path) << config_text(fresh.port());  // it is read again without another signal
   Told next(fresh);
   EXPECT_EQ(next.from, 2U);
   EXPECT_TRUE(old.wire.ends());
-  served.run([](Platform& p) { return p.reload(), p.reload(), 0; });  // a signal behind a signal
+  served.run([](PlatformServer& p) { return p.reload(), p.reload(), 0; });  // a signal behind a signal
   Told last(fresh);
   EXPECT_EQ(last.from, 2U);
   engine.answer(0, 0x900, "parts=1", "a\tb\tc\n");
@@ -344,16 +344,16 @@
   PlatformConfig settings = config();
   {
     Listener down;  // its port is nobody's once it is gone
-    settings.channel.port = down.port();
+    settings.discovery_endpoint.port = down.port();
   }
   Served served(std::move(settings), path);
   Listener fresh;
   std::ofstream(path) << config_text(fresh.port());
-  served.run([](Platform& p) { return p.reload(), 0; });
+  served.run([](PlatformServer& p) { return p.reload(), 0; });
   Told told(fresh);
   EXPECT_EQ(told.from, 1U);
   told.event(2, {engine_at(9, engines_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.last_event(); }) == 2; }));
+  EXPECT_TRUE(comes_true([&] { return served.run([](PlatformServer& p) { return p.last_event(); }) == 2; }));
   ::unlink(path.c_str());
 }
 
@@ -363,23 +363,24 @@
   Told told(channel_);
   RawClient client(served.port());
   std::uint64_t number = 1;
-  told.event(++number, {engine_at(1, engines_[0].port(), EngineState::gone)});
+  told.event(++number, {engine_at(1, engines_[0].port(), EngineState::removed)});
   for (EngineId generation = 2; generation < 62; ++generation) {
     told.event(++number, {engine_at(generation, engines_[0].port())});
-    ASSERT_TRUE(comes_true([&] { return served.run([](Platform& p) { return p.last_event(); }) == number; }));
+    ASSERT_TRUE(
+        comes_true([&] { return served.run([](PlatformServer& p) { return p.last_event(); }) == number; }));
     client.ask(static_cast<int>(generation), 0x4000U + generation);
     EngineSide engine(engines_[0]);  // a channel of its own: the last one's was another engine's
     const auto request = engine.next();
     ASSERT_TRUE(request) << generation;
     engine.answer(0, request->id, "parts=1", "a\tb\tc\n");
     ASSERT_EQ(client.outcome(), "served:a\tb\tc\n") << generation;
-    told.event(++number, {engine_at(generation, engines_[0].port(), EngineState::gone)});
+    told.event(++number, {engine_at(generation, engines_[0].port(), EngineState::removed)});
     ASSERT_TRUE(engine.wire().ends()) << generation;
   }
   EXPECT_TRUE(
-      comes_true([&] { return served.run([](Platform& p) { return p.engine_connections(); }) == 0; }));
-  EXPECT_EQ(served.run([](Platform& p) { return p.engines(); }), 0U);
-  EXPECT_EQ(served.counts().links, 0U);
+      comes_true([&] { return served.run([](PlatformServer& p) { return p.engine_connections(); }) == 0; }));
+  EXPECT_EQ(served.run([](PlatformServer& p) { return p.engines(); }), 0U);
+  EXPECT_EQ(served.counts().channels, 0U);
   EXPECT_EQ(served.counts().sessions, 0U);
 }
 
@@ -387,7 +388,7 @@
 
 TEST_F(Platforms, AfterTermWhatStillComesIsAnsweredAndThenItEnds) {
   boost::asio::io_context io(1);
-  Platform platform(io, config(), "", false);
+  PlatformServer platform(io, config(), "", false);
   platform.start();
   const std::uint16_t port = platform.port();
   std::thread loop([&] { io.run(); });
--- a/tests/platform/protocol_test.cpp
+++ b/tests/platform/protocol_test.cpp
@@ -2,10 +2,10 @@
 #include <gtest/gtest.h>
 
 #include "platform/config.hpp"
-#include "platform/fleet.hpp"
-#include "platform/streams.hpp"
+#include "platform/endpoint_list.hpp"
+#include "platform/paged_answer.hpp"
 #include "protocol/base64.hpp"
-#include "protocol/command_channel/events.hpp"
+#include "protocol/discovery/events.hpp"
 #include "protocol/engine_frames/frames.hpp"
 #include "protocol/jsonrpc/calls.hpp"
 #include "protocol/sql/tables.hpp"
@@ -37,8 +37,8 @@
   all[0].deadline = 10s;
   all[1].name = "load";
   all[1].deadline = 10s;
-  all[1].repeat = Repeat::keyed;
-  all[1].in_turn = true;
+  all[1].repeat = Idempotency::idempotent_with_key;
+  all[1].ordered_by_key = true;
   return all;
 }
 
@@ -68,7 +68,7 @@
     ASSERT_NE(query, nullptr) << line;
     EXPECT_EQ(query->id, 7) << line;
     EXPECT_EQ(query->trace, 0x9b1f03aa5c7e2d41U) << line;
-    EXPECT_EQ(query->patience, 1500ms) << line;
+    EXPECT_EQ(query->client_timeout, 1500ms) << line;
     EXPECT_EQ(query->statement, "SELECT 1") << line;
   }
   for (const char* id : {"7.5", "-7", "0", "1e300", "\"7\"", "null", "[7]"})
@@ -104,26 +104,26 @@
   EXPECT_EQ(query->id, 7);
   EXPECT_EQ(query->class_index, 1U);
   EXPECT_EQ(query->trace, 0x9b1f03aa5c7e2d41U);
-  EXPECT_EQ(query->patience, 1500ms);
+  EXPECT_EQ(query->client_timeout, 1500ms);
   EXPECT_TRUE(query->repeated);
   EXPECT_EQ(query->nonce, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
   EXPECT_EQ(query->cost, 820500us);
   EXPECT_EQ(query->memory_mb, 96);
-  EXPECT_EQ(query->order_key, 0x7f3a9c21e0b4d655U);
+  EXPECT_EQ(query->ordering_key, 0x7f3a9c21e0b4d655U);
   EXPECT_EQ(query->statement, "SELECT 1");
 }
 
 TEST(Calls, WhatIsNotWellFormedIsAProblemUnderItsNumber) {
   const auto all = classes();
   const jsonrpc::CallReader reader(all);
-  const std::string patience = R"(,"patience":100,)";
+  const std::string client_timeout = R"(,"patience":100,)";
   const std::vector<std::string> wrong{
       "",
       "{",
       "nonsense",
       "\xff\xfe",
       "[]",
-      "[" + report("1", trace + patience + body) + "]",
+      "[" + report("1", trace + client_timeout + body) + "]",
       "7",
       std::string(2000, '['),
       R"({"id":1,"method":"report","params":{}})",
@@ -133,17 +133,17 @@
       R"({"jsonrpc":"2.0","id":1,"method":"settle","params":{}})",
       R"({"jsonrpc":"2.0","id":1,"method":"report"})",
       R"({"jsonrpc":"2.0","id":1,"method":"report","params":[1]})",
-      R"({"jsonrpc":"2.0","method":"report","params":{)" + trace + patience + body + "}}",
-      report("0", trace + patience + body),
-      report("-4", trace + patience + body),
-      report("1.5", trace + patience + body),
-      report("\"1\"", trace + patience + body),
-      report("null", trace + patience + body),
-      report("99999999999999999999", trace + patience + body),
+      R"({"jsonrpc":"2.0","method":"report","params":{)" + trace + client_timeout + body + "}}",
+      report("0", trace + client_timeout + body),
+      report("-4", trace + client_timeout + body),
+      report("1.5", trace + client_timeout + body),
+      report("\"1\"", trace + client_timeout + body),
+      report("null", trace + client_timeout + body),
+      report("99999999999999999999", trace + client_timeout + body),
       report("1", R"("patience":100,)" + body),
-      report("1", R"("trace":"9b1f03aa5c7e2d4")" + patience + body),
-      report("1", R"("trace":"9b1f03aa5c7e2d4g")" + patience + body),
-      report("1", R"("trace":17)" + patience + body),
+      report("1", R"("trace":"9b1f03aa5c7e2d4")" + client_timeout + body),
+      report("1", R"("trace":"9b1f03aa5c7e2d4g")" + client_timeout + body),
+      report("1", R"("trace":17)" + client_timeout + body),
       report("1", trace + "," + body),
       report("1", trace + R"(,"patience":0,)" + body),
       report("1", trace + R"(,"patience":-1,)" + body),
@@ -151,23 +151,23 @@
       report("1", trace + R"(,"patience":1e999,)" + body),
       report("1", trace + R"(,"patience":"100",)" + body),
       report("1", trace + R"(,"patience":99000000000,)" + body),
-      report("1", trace + R"(,"redo":7)" + patience + body),
-      report("1", trace + R"(,"weight":-3)" + patience + body),
-      report("1", trace + R"(,"weight":"much")" + patience + body),
-      report("1", trace + R"(,"weight":1e40)" + patience + body),
-      report("1", trace + R"(,"weight":NaN)" + patience + body),
-      report("1", trace + R"(,"need_mb":-1)" + patience + body),
-      report("1", trace + R"(,"need_mb":null)" + patience + body),
-      report("1", trace + R"(,"need_mb":1e99)" + patience + body),
+      report("1", trace + R"(,"redo":7)" + client_timeout + body),
+      report("1", trace + R"(,"weight":-3)" + client_timeout + body),
+      report("1", trace + R"(,"weight":"much")" + client_timeout + body),
+      report("1", trace + R"(,"weight":1e40)" + client_timeout + body),
+      report("1", trace + R"(,"weight":NaN)" + client_timeout + body),
+      report("1", trace + R"(,"need_mb":-1)" + client_timeout + body),
+      report("1", trace + R"(,"need_mb":null)" + client_timeout + body),
+      report("1", trace + R"(,"need_mb":1e99)" + client_timeout + body),
       report("1", trace + R"(,"patience":100)"),
       report("1", trace + R"(,"patience":100,"content":"")"),
       report("1", trace + R"(,"patience":100,"content":"###=")"),
       report("1", trace + R"(,"patience":100,"content":"U0VM RUNUIDE=")"),
       report("1", trace + R"(,"patience":100,"content":{})"),
-      R"({"jsonrpc":"2.0","id":1,"method":"load","params":{)" + trace + patience + body + "}}",
-      R"({"jsonrpc":"2.0","id":1,"method":"load","params":{)" + trace + patience + body +
+      R"({"jsonrpc":"2.0","id":1,"method":"load","params":{)" + trace + client_timeout + body + "}}",
+      R"({"jsonrpc":"2.0","id":1,"method":"load","params":{)" + trace + client_timeout + body +
           R"(,"nonce":"5c,ms=9,6e1a2b3d4c59a8b7c6d5e4f302","entity":"7f3a9c21e0b4d655"}})",
-      R"({"jsonrpc":"2.0","id":1,"method":"load","params":{)" + trace + patience + body +
+      R"({"jsonrpc":"2.0","id":1,"method":"load","params":{)" + trace + client_timeout + body +
           R"(,"nonce":"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}})",
   };
   for (const std::string& line : wrong)
@@ -365,13 +365,13 @@
 
 // ---- The command channel ----
 
-command_channel::Event event(std::uint64_t number, bool whole, std::vector<EngineId> engines,
-                             EngineState state = EngineState::ready) {
-  command_channel::Event out;
+discovery::Event event(std::uint64_t number, bool whole, std::vector<EngineId> engines,
+                       EngineState state = EngineState::ready) {
+  discovery::Event out;
   out.number = number;
   out.whole = whole;
   for (const EngineId id : engines) {
-    command_channel::Record record;
+    discovery::Record record;
     record.entry = {id, state, 1, 2, 3, 1.5, 1700000000123ms};
     record.address = 0x0a010009;
     record.port = static_cast<std::uint16_t>(4000 + id);
@@ -382,25 +382,24 @@
 
 TEST(CommandChannel, EventsByteByByteAndAtAnySplit) {
   std::string cursor;
-  command_channel::put_cursor(cursor, 41);
+  discovery::put_cursor(cursor, 41);
   EXPECT_EQ(cursor, "\0\0\0\0\0\0\0\x29"s);
   std::string bytes;
-  command_channel::put_event(bytes, event(42, false, {7}, EngineState::draining));
+  discovery::put_event(bytes, event(42, false, {7}, EngineState::draining));
   EXPECT_EQ(bytes,
             "\0\0\0\x24\0\0\0\0\0\0\0\x2a\x02"
             "\0\0\0\x07\x0a\x01\0\x09\x0f\xa7\x01\x02\x01\0\x03\0\0\x05\xdc\0\0\x01\x8b\xcf\xe5\x68\x7b"s);
-  command_channel::put_beat(bytes, 42);
-  command_channel::put_event(bytes, event(43, true, {}));
+  discovery::put_beat(bytes, 42);
+  discovery::put_event(bytes, event(43, true, {}));
   for (std::size_t step = 1; step <= bytes.size(); ++step) {
-    command_channel::EventReader reader;
+    discovery::EventReader reader;
     std::string order;
     for (std::size_t at = 0; at < bytes.size(); at += step) {
       reader.feed(std::string_view(bytes).substr(at, step));
       for (auto next = reader.next(); !std::holds_alternative<std::monostate>(next); next = reader.next()) {
-        order += std::holds_alternative<command_channel::Beat>(next) ? 'b' : 'e';
-        ASSERT_FALSE(std::holds_alternative<command_channel::Broken>(next));
-        if (const auto* one = std::get_if<command_channel::Event>(&next);
-            one != nullptr && one->number == 42) {
+        order += std::holds_alternative<discovery::Heartbeat>(next) ? 'b' : 'e';
+        ASSERT_FALSE(std::holds_alternative<discovery::Broken>(next));
+        if (const auto* one = std::get_if<discovery::Event>(&next); one != nullptr && one->number == 42) {
           ASSERT_EQ(one->records.size(), 1U);
           EXPECT_EQ(one->records[0].entry.state, EngineState::draining);
           EXPECT_EQ(one->records[0].entry.weight, 1.5);
@@ -415,33 +414,33 @@
 
 TEST(CommandChannel, DamageIsSeen) {
   const auto broken = [](const std::string& bytes) {
-    command_channel::EventReader reader;
+    discovery::EventReader reader;
     reader.feed(bytes);
-    return std::holds_alternative<command_channel::Broken>(reader.next());
+    return std::holds_alternative<discovery::Broken>(reader.next());
   };
   EXPECT_TRUE(broken("\0\0\0\x08"s));
   EXPECT_TRUE(broken("\xff\xff\xff\xff"s));
   EXPECT_TRUE(broken("\0\0\0\x09\0\0\0\0\0\0\0\x01\x05"s));
   EXPECT_TRUE(broken("\0\0\0\x0a\0\0\0\0\0\0\0\x01\x02\0"s));
   std::string state;
-  command_channel::put_event(state, event(1, false, {1}));
+  discovery::put_event(state, event(1, false, {1}));
   state[13 + 10] = 3;
   EXPECT_TRUE(broken(state));
 }
 
-TEST(Fleet, TellsWhichProcessesHaveEnded) {
-  platform::Fleet fleet;
-  const auto ended_by = [&](const command_channel::Event& one) {
-    core::FleetTold told;
+TEST(EndpointList, TellsWhichProcessesHaveEnded) {
+  platform::EndpointList fleet;
+  const auto ended_by = [&](const discovery::Event& one) {
+    core::EndpointsUpdated told;
     std::vector<EngineId> ended;
     fleet.take(one, told, ended);
-    fleet.forget_gone();
+    fleet.forget_removed();
     return ended;
   };
   const std::vector<EngineId> none, second{2}, all{1, 2, 3};
   EXPECT_EQ(ended_by(event(1, true, {1, 2, 3})), none);
   EXPECT_EQ(ended_by(event(2, false, {2}, EngineState::draining)), none);
-  EXPECT_EQ(ended_by(event(3, false, {2}, EngineState::gone)), second);
+  EXPECT_EQ(ended_by(event(3, false, {2}, EngineState::removed)), second);
   EXPECT_EQ(ended_by(event(4, false, {2})), none) << "its process before ended then";
   auto anew = event(5, false, {2});
   anew.records[0].entry.started = std::chrono::seconds(7);
@@ -452,27 +451,27 @@
   EXPECT_EQ(ended_by(event(7, true, {4})), all) << "a whole list does not name them";
 }
 
-TEST(Fleet, TakesEachEventOnceAndAsksForWhatIsMissing) {
-  platform::Fleet fleet;
-  const auto take = [&](const command_channel::Event& one) {
-    core::FleetTold told;
+TEST(EndpointList, TakesEachEventOnceAndAsksForWhatIsMissing) {
+  platform::EndpointList fleet;
+  const auto take = [&](const discovery::Event& one) {
+    core::EndpointsUpdated told;
     std::vector<EngineId> ended;
     const auto taken = fleet.take(one, told, ended);
     return std::pair(taken, told.engines.size());
   };
-  using Taken = platform::Fleet::Taken;
+  using ApplyResult = platform::EndpointList::ApplyResult;
   EXPECT_EQ(take(event(5, true, {1, 2})),
-            std::pair(Taken::applied, std::size_t{2}));  // a whole list needs no other
-  EXPECT_EQ(take(event(5, true, {1, 2})), std::pair(Taken::seen, std::size_t{0}));
-  EXPECT_EQ(take(event(7, false, {3})).first, Taken::gap);
+            std::pair(ApplyResult::applied, std::size_t{2}));  // a whole list needs no other
+  EXPECT_EQ(take(event(5, true, {1, 2})), std::pair(ApplyResult::duplicate, std::size_t{0}));
+  EXPECT_EQ(take(event(7, false, {3})).first, ApplyResult::gap);
   EXPECT_EQ(fleet.last(), 5U);
-  EXPECT_EQ(take(event(6, false, {2}, EngineState::gone)).first, Taken::applied);
+  EXPECT_EQ(take(event(6, false, {2}, EngineState::removed)).first, ApplyResult::applied);
   ASSERT_TRUE(fleet.address(2));
-  fleet.forget_gone();
+  fleet.forget_removed();
   EXPECT_FALSE(fleet.address(2));
   EXPECT_EQ(fleet.address(1), (platform::Address{0x0a010009, 4001}));
-  EXPECT_EQ(take(event(7, true, {4})).first, Taken::applied);
-  fleet.forget_gone();
+  EXPECT_EQ(take(event(7, true, {4})).first, ApplyResult::applied);
+  fleet.forget_removed();
   EXPECT_EQ(fleet.size(), 1U);
 }
 
@@ -516,7 +515,7 @@
   EXPECT_EQ(platform::text_of(config.listen), "127.0.0.4:4100");
   EXPECT_EQ(config.limits.descriptors, 256U);
   EXPECT_EQ(config.streams_per_connection, 32U);
-  EXPECT_EQ(config.core.connect_time_out, 250ms);
+  EXPECT_EQ(config.core.connect_timeout, 250ms);
   const Settings& settings = config.core.module;
   EXPECT_EQ(settings.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(settings.instances, 3U);
--- a/tests/protocol/pg_test.cpp
+++ b/tests/protocol/pg_test.cpp
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
 
+#include "protocol/pg/backend_connection.hpp"
 #include "protocol/pg/bytes.hpp"
-#include "protocol/pg/engine_link.hpp"
 #include "protocol/pg/frame.hpp"
-#include "protocol/pg/front.hpp"
+#include "protocol/pg/frontend_session.hpp"
 #include "protocol/pg/scram.hpp"
 #include "protocol/pg/sqlstate.hpp"
 #include "protocol/pg/statements.hpp"
@@ -49,16 +49,16 @@
 // A session that is past its startup.
 class Seat {
  public:
-  explicit Seat(FrontSettings settings = {}) : front(settings, trust(), {7, 8}, "nonce") {
+  explicit Seat(FrontendSettings settings = {}) : front(settings, trust(), {7, 8}, "nonce") {
     front.feed(startup());
-    EXPECT_TRUE(std::holds_alternative<FrontStarted>(*front.next()));
+    EXPECT_TRUE(std::holds_alternative<FrontendStarted>(*front.next()));
     EXPECT_FALSE(front.next());
     front.out().clear();
   }
-  std::optional<FrontRequest> request() {
+  std::optional<FrontendRequest> request() {
     const auto event = front.next();
     if (!event) return std::nullopt;
-    const auto* found = std::get_if<FrontRequest>(&*event);
+    const auto* found = std::get_if<FrontendRequest>(&*event);
     return found == nullptr ? std::nullopt : std::optional(*found);
   }
   std::string take() {
@@ -66,7 +66,7 @@
     out.swap(front.out());
     return out;
   }
-  Front front;
+  FrontendSession front;
 };
 
 void parse(std::string& out, const char* name, const char* text) { put_parse(out, name, text, {"\0\0", 2}); }
@@ -94,15 +94,15 @@
   EXPECT_TRUE(small.bad());
 }
 
-TEST(Front, StartsUpByteByByteAfterRefusingTls) {
-  Front front({}, trust(), {7, 8}, "nonce");
+TEST(FrontendSession, StartsUpByteByByteAfterRefusingTls) {
+  FrontendSession front({}, trust(), {7, 8}, "nonce");
   std::string bytes;
   Writer(bytes).begin_untyped().u32(ssl_code).end();
   bytes += startup();
   bool started = false;
   for (const char c : bytes) {
     front.feed({&c, 1});
-    while (const auto event = front.next()) started |= std::holds_alternative<FrontStarted>(*event);
+    while (const auto event = front.next()) started |= std::holds_alternative<FrontendStarted>(*event);
   }
   EXPECT_TRUE(started);
   ASSERT_EQ(front.out()[0], 'N');
@@ -112,7 +112,7 @@
   EXPECT_EQ(types.substr(types.size() - 2), "KZ");
 }
 
-TEST(Front, SimpleQueriesArePipelinedOneAtATime) {
+TEST(FrontendSession, SimpleQueriesArePipelinedOneAtATime) {
   Seat seat;
   std::string bytes;
   for (int i = 0; i < 1000; ++i) put_query(bytes, "select " + std::to_string(i));
@@ -128,7 +128,7 @@
   EXPECT_EQ(types_of(seat.take()), std::string(1000, 'Z'));
 }
 
-TEST(Front, WhatIsNotCarriedIsRefusedByNameAndTheSessionLivesOn) {
+TEST(FrontendSession, WhatIsNotCarriedIsRefusedByNameAndTheSessionLivesOn) {
   for (const char* text :
        {"begin", "START TRANSACTION", "copy t from stdin", "listen x", "select 1; commit", "/* a */ rollback",
         "create temp table x(a int)", "declare c cursor for select 1", "select 1 into temp y"}) {
@@ -151,7 +151,7 @@
   EXPECT_EQ(error_code(seat.take()), "0A000");
 }
 
-TEST(Front, AnswersSetShowAndResetItself) {
+TEST(FrontendSession, AnswersSetShowAndResetItself) {
   Seat seat;
   std::string bytes;
   put_query(bytes, "SET extra_float_digits = 3; set timezone to 'Europe/Berlin'; show timezone");
@@ -171,7 +171,7 @@
   EXPECT_EQ(error_code(out), "0A000");
 }
 
-TEST(Front, ExtendedBatchesArePreparedAtTheEngineWhenNeeded) {
+TEST(FrontendSession, ExtendedBatchesArePreparedAtTheEngineWhenNeeded) {
   Seat seat;
   std::string bytes;
   parse(bytes, "s1", "select $1");
@@ -180,7 +180,7 @@
   auto request = seat.request();
   ASSERT_TRUE(request);
   EXPECT_EQ(types_of(request->query.bytes), "PS");
-  LinkAnswerEnd end;
+  BackendAnswerEnd end;
   end.parses_shown = 1;
   seat.front.request_done(end);
 
@@ -207,14 +207,14 @@
   EXPECT_EQ(error_code(out), "26000");
 }
 
-TEST(Front, AStatementWhoseParseFailedIsNotKept) {
+TEST(FrontendSession, AStatementWhoseParseFailedIsNotKept) {
   Seat seat;
   std::string bytes;
   parse(bytes, "bad", "selec 1");
   put_empty(bytes, 'S');
   seat.front.feed(bytes);
   ASSERT_TRUE(seat.request());
-  LinkAnswerEnd end;
+  BackendAnswerEnd end;
   end.error_code = "42601";
   seat.front.request_done(end);
   bytes.clear();
@@ -226,7 +226,7 @@
   EXPECT_EQ(error_code(seat.take()), "26000");
 }
 
-TEST(Front, FlushAnswersWhatCameAndAnErrorBehindItSkipsToTheSync) {
+TEST(FrontendSession, FlushAnswersWhatCameAndAnErrorBehindItSkipsToTheSync) {
   Seat seat;
   std::string bytes;
   parse(bytes, "", "select 1");
@@ -247,7 +247,7 @@
   EXPECT_EQ(types_of(seat.take()), "Z");
 }
 
-TEST(Front, SettingsByTheExtendedProtocol) {
+TEST(FrontendSession, SettingsByTheExtendedProtocol) {
   Seat seat;
   std::string bytes;
   parse(bytes, "", "SHOW transaction isolation level");
@@ -260,7 +260,7 @@
   EXPECT_EQ(types_of(seat.take()), "12TDCZ");
 }
 
-TEST(Front, MalformedMessagesOfEveryTypeGetOneErrorEach) {
+TEST(FrontendSession, MalformedMessagesOfEveryTypeGetOneErrorEach) {
   for (const char type : std::string("PBDEC")) {
     Seat seat;
     std::string bytes;
@@ -276,7 +276,7 @@
     std::string bytes;
     put_raw(bytes, type, "unended");
     seat.front.feed(bytes);
-    EXPECT_TRUE(std::holds_alternative<FrontEnd>(*seat.front.next())) << type;
+    EXPECT_TRUE(std::holds_alternative<FrontendClosed>(*seat.front.next())) << type;
     EXPECT_EQ(error_code(seat.take()), "08P01") << type;
   }
   Seat seat;
@@ -287,8 +287,8 @@
   EXPECT_EQ(error_code(seat.take()), "22021");
 }
 
-TEST(Front, NamedStatementsAreBounded) {
-  FrontSettings settings;
+TEST(FrontendSession, NamedStatementsAreBounded) {
+  FrontendSettings settings;
   settings.most_statements = 2;
   Seat seat(settings);
   for (const char* name : {"a", "b", "c"}) {
@@ -297,7 +297,7 @@
     put_empty(bytes, 'S');
     seat.front.feed(bytes);
     if (seat.request()) {
-      LinkAnswerEnd end;
+      BackendAnswerEnd end;
       end.parses_shown = 1;
       seat.front.request_done(end);
     }
@@ -321,18 +321,18 @@
 class Wire {
  public:
   Wire() {
-    link.start({"u", "d", "a", "", "n"});
+    channel.start({"u", "d", "a", "", "n"});
     std::string hello;
     put_authentication(hello, 0);
     put_key(hello, {5, 6});
     put_ready(hello, 'I');
     feed(hello);
-    EXPECT_TRUE(std::holds_alternative<LinkReady>(events.at(0)));
+    EXPECT_TRUE(std::holds_alternative<BackendReady>(events.at(0)));
     events.clear();
   }
-  void feed(std::string_view bytes) { link.feed(bytes, events, reply); }
-  EngineLink link;
-  std::vector<LinkEvent> events;
+  void feed(std::string_view bytes) { channel.feed(bytes, events, reply); }
+  BackendConnection channel;
+  std::vector<BackendEvent> events;
   std::string reply;
 };
 
@@ -342,54 +342,54 @@
   return out;
 }
 
-TEST(EngineLink, TermsRideAheadOfTheQueryOnceAndOnlyWhereTheyDiffer) {
+TEST(BackendConnection, TermsRideAheadOfTheQueryOnceAndOnlyWhereTheyDiffer) {
   Wire wire;
-  EXPECT_EQ(types_of(wire.link.flight(query("select 1"), 2, 100)), "QQ");
+  EXPECT_EQ(types_of(wire.channel.flight(query("select 1"), 2, 100)), "QQ");
   std::string set;
   put_complete(set, "SET");
   put_ready(set, 'I');
   wire.feed(set + answer("x"));
   ASSERT_EQ(wire.events.size(), 1U);
-  const auto& end = std::get<LinkAnswerEnd>(wire.events[0]);
+  const auto& end = std::get<BackendAnswerEnd>(wire.events[0]);
   EXPECT_EQ(end.ending, core::Ending::complete);
   EXPECT_EQ(end.work, 12500us);
   EXPECT_EQ(end.report.queries, 3);
-  EXPECT_EQ(types_of(wire.link.answer()), "TDC");  // ours were taken out
-  EXPECT_EQ(types_of(wire.link.flight(query("select 1"), 2, 100)), "Q");
+  EXPECT_EQ(types_of(wire.channel.answer()), "TDC");  // ours were taken out
+  EXPECT_EQ(types_of(wire.channel.flight(query("select 1"), 2, 100)), "Q");
   EXPECT_EQ(settings_change({{"work_mem", "5MB"}, {"timezone", "UTC"}}, {{"timezone", "X'Y"}}),
             "RESET work_mem;SET timezone='X''Y';");
 }
 
-TEST(EngineLink, ByteByByteGivesTheSameAnswer) {
+TEST(BackendConnection, ByteByByteGivesTheSameAnswer) {
   Wire wire;
-  wire.link.flight(query("select 1"), 0, 0);
+  wire.channel.flight(query("select 1"), 0, 0);
   std::string set;
   put_complete(set, "SET");
   put_ready(set, 'I');
   for (const char c : set + answer("x")) wire.feed({&c, 1});
-  EXPECT_EQ(types_of(wire.link.answer()), "TDC");
-  EXPECT_TRUE(std::holds_alternative<LinkAnswerEnd>(wire.events.back()));
+  EXPECT_EQ(types_of(wire.channel.answer()), "TDC");
+  EXPECT_TRUE(std::holds_alternative<BackendAnswerEnd>(wire.events.back()));
 }
 
-TEST(EngineLink, ATransactionLeftOpenMakesTheLinkUnusable) {
+TEST(BackendConnection, ATransactionLeftOpenMakesTheLinkUnusable) {
   Wire wire;
-  wire.link.flight(query("select 1"), 0, 0);
+  wire.channel.flight(query("select 1"), 0, 0);
   std::string set;
   put_ready(set, 'I');
   wire.feed(set + answer("x", 'T'));
-  EXPECT_FALSE(std::get<LinkAnswerEnd>(wire.events.back()).reusable);
+  EXPECT_FALSE(std::get<BackendAnswerEnd>(wire.events.back()).reusable);
 }
 
-TEST(EngineLink, ErrorsAreSortedByWhatTheyMean) {
+TEST(BackendConnection, ErrorsAreSortedByWhatTheyMean) {
   const auto ending = [](const char* code) {
     Wire wire;
-    wire.link.flight(query("select 1"), 0, 0);
+    wire.channel.flight(query("select 1"), 0, 0);
     std::string bytes;
     put_ready(bytes, 'I');
     put_error(bytes, error(code, "x"));
     put_ready(bytes, 'I');
     wire.feed(bytes);
-    return std::get<LinkAnswerEnd>(wire.events.back()).ending;
+    return std::get<BackendAnswerEnd>(wire.events.back()).ending;
   };
   EXPECT_EQ(ending("42601"), core::Ending::complete);
   EXPECT_EQ(ending("23505"), core::Ending::complete);
@@ -400,9 +400,9 @@
   EXPECT_EQ(ending_of_error("53300", true), core::Ending::engine_error);
 }
 
-TEST(EngineLink, HugeRowsPassAsTheyComeAndNothingElseMay) {
+TEST(BackendConnection, HugeRowsPassAsTheyComeAndNothingElseMay) {
   Wire wire;
-  wire.link.flight(query("select 1"), 0, 0);
+  wire.channel.flight(query("select 1"), 0, 0);
   std::string head;
   put_ready(head, 'I');
   std::string row;
@@ -410,35 +410,35 @@
   const std::string_view cell = big;
   put_row(row, {&cell, 1});
   wire.feed(head + row.substr(0, 70000));
-  EXPECT_TRUE(wire.link.mid_message());
-  EXPECT_EQ(wire.link.answer().size(), 70000U);
+  EXPECT_TRUE(wire.channel.mid_message());
+  EXPECT_EQ(wire.channel.answer().size(), 70000U);
   wire.feed(row.substr(70000));
-  EXPECT_FALSE(wire.link.mid_message());
+  EXPECT_FALSE(wire.channel.mid_message());
   wire.feed({"S\x10\0\0\0", 5});
-  EXPECT_TRUE(std::holds_alternative<LinkBroken>(wire.events.back()));
+  EXPECT_TRUE(std::holds_alternative<BackendBroken>(wire.events.back()));
 }
 
-TEST(EngineLink, WhatIsNoAnswerBreaksIt) {
+TEST(BackendConnection, WhatIsNoAnswerBreaksIt) {
   for (const std::string& bytes :
        {std::string("Z\0\0\0\5T", 6), std::string("?\0\0\0\4", 5), std::string("D\0\0\0\1", 5)}) {
     Wire wire;
     wire.feed(bytes);
     ASSERT_FALSE(wire.events.empty());
-    EXPECT_TRUE(std::holds_alternative<LinkBroken>(wire.events.back()));
+    EXPECT_TRUE(std::holds_alternative<BackendBroken>(wire.events.back()));
     EXPECT_EQ(wire.events.size(), 1U);
   }
 }
 
-TEST(EngineLink, NotesOfProgressAreTakenOut) {
+TEST(BackendConnection, NotesOfProgressAreTakenOut) {
   Wire wire;
-  wire.link.flight(query("select 1"), 0, 0);
+  wire.channel.flight(query("select 1"), 0, 0);
   std::string bytes;
   put_ready(bytes, 'I');
   put_notice(bytes, {"NOTICE", "01P5T", "progress=0.25", "", ""});
   put_notice(bytes, {"NOTICE", "01000", "for the client", "", ""});
   wire.feed(bytes);
-  EXPECT_EQ(std::get<LinkNote>(wire.events.at(0)).level, 0.25);
-  EXPECT_EQ(types_of(wire.link.answer()), "N");
+  EXPECT_EQ(std::get<BackendProgress>(wire.events.at(0)).level, 0.25);
+  EXPECT_EQ(types_of(wire.channel.answer()), "N");
 }
 
 TEST(Scram, TestVectorOfRfc7677) {
@@ -481,8 +481,8 @@
 
 TEST(Answers, CarryAdviceThatReadsBack) {
   core::Answer answer;
-  answer.kind = core::AnswerKind::refused;
-  answer.repeatable = core::Repeatable::harmless;
+  answer.kind = core::AnswerKind::rejected;
+  answer.retry_safety = core::RetrySafety::safe;
   answer.retry_after = 120ms;
   const Fields fields = fields_of(answer);
   EXPECT_EQ(fields.code, "53400");
@@ -490,9 +490,9 @@
   EXPECT_EQ(advice.retry_after, 120ms);
   EXPECT_EQ(advice.harmless, true);
   answer.kind = core::AnswerKind::failed;
-  answer.repeatable = core::Repeatable::unknown;
+  answer.retry_safety = core::RetrySafety::unknown;
   EXPECT_EQ(fields_of(answer).code, "08007");
-  answer.time_up = true;
+  answer.deadline_exceeded = true;
   EXPECT_EQ(fields_of(answer).code, "57014");
   EXPECT_EQ(read_advice(fields_of(answer).hint).harmless, false);
   EXPECT_FALSE(read_advice("retry_after_ms=x; nonsense").retry_after);
--- a/tests/service/hard_cases_test.cpp
+++ b/tests/service/hard_cases_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "service_desk.hpp"
+#include "service_harness.hpp"
 
 namespace paddlestand::service::test {
 namespace {
@@ -31,7 +31,7 @@
   return text + "</engines></manager>";
 }
 
-class Served : public Thread<Manager> {
+class Served : public Thread<PostgresServer> {
  public:
   explicit Served(
       const std::string& text,
@@ -45,14 +45,14 @@
       : Thread([&](auto& io) {
           auto read = config::parse_manager_config(text, path);
           if (const auto* fault = std::get_if<config::Fault>(&read)) throw std::runtime_error(fault->text());
-          return std::make_unique<Manager>(io, std::get<config::ManagerConfig>(std::move(read)), "", users,
-                                           "");
+          return std::make_unique<PostgresServer>(io, std::get<config::ManagerConfig>(std::move(read)), "",
+                                                  users, "");
         }) {}
   std::uint16_t port() {
-    return run([](Manager& m) { return m.port(); });
+    return run([](PostgresServer& m) { return m.port(); });
   }
   core::Counts counts() {
-    return run([](Manager& m) { return m.counts(); });
+    return run([](PostgresServer& m) { return m.counts(); });
   }
   bool quiet() {
     return comes_true([&] {
@@ -135,7 +135,7 @@
 
 TEST(HardCase, ClientGoesWithAnUnsafeQueryOut) {
   const std::string log = ::testing::TempDir() + "truth-gone-" + std::to_string(getpid()) + ".jsonl";
-  standin::StandinSettings s;
+  test_engine::TestEngineSettings s;
   s.truth_log = log;
   Engine first(s), second(s);
   Served manager(settings({first->port(), second->port()}));
@@ -325,19 +325,19 @@
   Served manager(settings({}), users);
   const auto login = [&](const char* user, const char* password) {
     RawClient client(manager.port(), false);
-    pg::EngineLink link;
-    client.send(link.start({user, "d", "a", password, "nonce"}));
-    std::vector<pg::LinkEvent> events;
+    pg::BackendConnection channel;
+    client.send(channel.start({user, "d", "a", password, "nonce"}));
+    std::vector<pg::BackendEvent> events;
     while (events.empty()) {
       const auto message = client.next();
       if (!message) return std::string("ended");
       std::string bytes, reply;
       pg::put_raw(bytes, message->type, message->body);
-      link.feed(bytes, events, reply);
+      channel.feed(bytes, events, reply);
       client.send(reply);
     }
-    if (const auto* refused = std::get_if<pg::LinkRefused>(&events[0])) return refused->error.code;
-    return std::holds_alternative<pg::LinkReady>(events[0]) ? std::string("in") : std::string("broken");
+    if (const auto* refused = std::get_if<pg::BackendRefused>(&events[0])) return refused->error.code;
+    return std::holds_alternative<pg::BackendReady>(events[0]) ? std::string("in") : std::string("broken");
   };
   EXPECT_EQ(login("ann", "right"), "in");
   EXPECT_EQ(login("ann", "wrong"), "28P01");
@@ -362,7 +362,7 @@
   RawClient idle(manager.port()), busy(manager.port());
   busy.query("select 1 /*sim_work_ms='300'*/");
   ASSERT_TRUE(comes_true([&] { return manager.counts().attempts_out == 1; }));
-  manager.run([](Manager& m) {
+  manager.run([](PostgresServer& m) {
     m.leave();
     return 0;
   });
@@ -376,7 +376,7 @@
 TEST(HardCase, TheListIsReadAgainABadOneChangesNothingAndADrainIsKept) {
   const std::string folder = ::testing::TempDir() + "list-" + std::to_string(getpid()) + "/";
   mkdir(folder.c_str(), 0700);
-  standin::StandinSettings s;
+  test_engine::TestEngineSettings s;
   s.truth_log = folder + "truth.jsonl";
   Engine first(s);
   s.name = "second";
@@ -407,7 +407,7 @@
   ASSERT_EQ(client.ask("select 1 /*cost_ms='1',sim_id='c'*/"), "TDCZ");
   // A query is held back by nothing but its engine's drain; then it goes to the other.
   put(open + one(1, first->port(), "draining") + one(2, second->port(), "ready") + "</engines>");
-  ASSERT_TRUE(comes_true([&] { return manager.counts().links_idle == 0; }));  // its idle links were closed
+  ASSERT_TRUE(comes_true([&] { return manager.counts().channels_idle == 0; }));  // its idle links were closed
   for (int i = 0; i < 5; ++i) ASSERT_EQ(client.ask("select 1 /*cost_ms='1',sim_id='d'*/"), "TDCZ");
   const auto after = truth(s.truth_log, "d");
   EXPECT_EQ(count(after, "received"), 5U);
@@ -417,7 +417,7 @@
   EXPECT_EQ(client.ask("select 1 /*cost_ms='1',sim_id='e'*/"), "TDCZ");  // on the link that is open
   // A reload: nothing of it is taken up where something in it can't be.
   std::ofstream(folder + "manager.xml") << "<manager";
-  manager.run([](Manager& m) { return m.reload(), 0; });
+  manager.run([](PostgresServer& m) { return m.reload(), 0; });
   EXPECT_EQ(client.ask("select 1 /*cost_ms='1'*/"), "TDCZ");
   for (const char* file : {"engines.xml", "truth.jsonl", "manager.xml"}) unlink((folder + file).c_str());
   rmdir(folder.c_str());
--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -1,4 +1,4 @@
-// A real manager and real stand-ins on loopback, in this process, each on a thread of its own; and a raw
+// A real manager and real test engines on loopback, in this process, each on a thread of its own; and a raw
 // client that sees every byte.
 #pragma once
 
@@ -15,8 +15,8 @@
 #include "protocol/pg/frame.hpp"
 #include "protocol/pg/messages.hpp"
 #include "protocol/pg/sqlstate.hpp"
-#include "service/manager.hpp"
-#include "standin/server.hpp"
+#include "service/postgres_server.hpp"
+#include "test_engine/server.hpp"
 #include "tests/hosted.hpp"
 
 namespace paddlestand::service::test {
@@ -24,12 +24,12 @@
 using namespace std::chrono_literals;
 using namespace paddlestand::test;
 
-class Engine : public Thread<standin::Server> {
+class Engine : public Thread<test_engine::Server> {
  public:
-  explicit Engine(standin::StandinSettings settings = {})
-      : Thread([&](auto& io) { return std::make_unique<standin::Server>(io, settings); }) {}
+  explicit Engine(test_engine::TestEngineSettings settings = {})
+      : Thread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
   std::string command(const std::string& line) {
-    return run([&](standin::Server& s) { return s.command(line); });
+    return run([&](test_engine::Server& s) { return s.command(line); });
   }
 };
 
@@ -73,7 +73,7 @@
     send(bytes);
   }
   // The next message; nothing at the end of the connection, or when none comes for long.
-  std::optional<Message> next(int wait_ms = patience_ms) {
+  std::optional<Message> next(int wait_ms = client_timeout_ms) {
     for (;;) {
       if (const auto frame = frames_.next()) return Message{frame->type, std::string(frame->body)};
       pollfd poll_on{socket_, POLLIN, 0};
--- a/tests/trace_checker/trace_checker_test.cpp
+++ b/tests/trace_checker/trace_checker_test.cpp
@@ -1,9 +1,9 @@
 // The judge finds a seeded breach of each rule in a doctored log, and none in a clean one.
-#include <gtest/gtest.h>
+#include "trace_checker/trace_checker.hpp"
 
-#include "audit/judge.hpp"
+#include <gtest/gtest.h>
 
-namespace paddlestand::audit {
+namespace paddlestand::trace_checker {
 namespace {
 
 constexpr std::int64_t ms = 1'000'000;
@@ -34,7 +34,7 @@
     r.key = key;
     r.manager = "m1";
     r.request = std::stol(id);
-    r.patience_ms = 1000;
+    r.client_timeout_ms = 1000;
   }
   void answer(std::int64_t at, const std::string& id, const char* kind, bool harmless = false) {
     Record& r = add(at, "answer", id);
@@ -195,4 +195,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestand::audit
+}  // namespace paddlestand::trace_checker
--- a/trace_checker/trace_checker.cpp
+++ b/trace_checker/trace_checker.cpp
@@ -1,4 +1,4 @@
-#include "judge.hpp"
+#include "trace_checker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -9,7 +9,7 @@
 #include <set>
 #include <sstream>
 
-namespace paddlestand::audit {
+namespace paddlestand::trace_checker {
 namespace {
 
 constexpr std::size_t most_told = 20;  // breaches of a rule that are told with their history
@@ -56,9 +56,9 @@
   }
 
  private:
-  void breach(int rule, const std::string& what, const Try* about = nullptr) {
+  void violation(int rule, const std::string& what, const Try* about = nullptr) {
     if (++out_.by_rule[rule] > most_told) return;
-    Breach one{rule, what, {}};
+    RuleViolation one{rule, what, {}};
     if (about != nullptr) {
       for (const Record* r : about->history) {
         std::ostringstream line;
@@ -67,7 +67,7 @@
         one.history.push_back(line.str());
       }
     }
-    out_.breaches.push_back(std::move(one));
+    out_.violations.push_back(std::move(one));
   }
 
   [[nodiscard]] const ClassFigures& class_of(const Try& one) const {
@@ -141,22 +141,22 @@
   }
 
   void final_answers(const std::string& id, const Try& one) {
-    const std::int64_t due = one.asked.t + ns(one.asked.patience_ms / 1000 + f_.slack_s);
-    if (one.extra > 0) breach(1, id + ": something came behind its final answer", &one);
-    if (one.answers > 1) breach(1, id + ": " + std::to_string(one.answers) + " final answers", &one);
+    const std::int64_t due = one.asked.t + ns(one.asked.client_timeout_ms / 1000 + f_.slack_s);
+    if (one.extra > 0) violation(1, id + ": something came behind its final answer", &one);
+    if (one.answers > 1) violation(1, id + ": " + std::to_string(one.answers) + " final answers", &one);
     const std::int64_t until = one.answer ? one.answer->t : due;
     if (!one.answer || one.answer->kind == "lost" || one.answer->kind == "unanswered") {
       // Whom its manager's death left without one asks again; and what was asked of one that was gone already
       // was never taken. No other.
       const bool crossed = near(down_, one.asked.manager, one.asked.t, one.asked.t) && one.runs.empty();
       if (!crossed && !near(killed_, one.asked.manager, one.asked.t, until))
-        breach(1, id + ": no final answer", &one);
+        violation(1, id + ": no final answer", &one);
       return;
     }
     if (one.answer->kind != "gone" && one.answer->t > due) {
       std::ostringstream late;
       late << id << ": answered " << static_cast<double>(one.answer->t - due) * 1e-6 << " ms too late";
-      breach(1, late.str(), &one);
+      violation(1, late.str(), &one);
     }
   }
 
@@ -165,16 +165,16 @@
     for (std::size_t i = 0; i + 1 < one.runs.size(); ++i) {
       const Run &a = one.runs[i], &b = one.runs[i + 1];
       if (a.over == never || a.over > b.received + ns(f_.seen_apart_s))
-        breach(2, id + ": two attempts out at once", &one);
+        violation(2, id + ": two attempts out at once", &one);
       if (k.safe || !a.started) continue;
-      if (!k.keyed) breach(2, id + ": unsafe, sent again though it had begun to run", &one);
+      if (!k.keyed) violation(2, id + ": unsafe, sent again though it had begun to run", &one);
       if (k.keyed && b.received > one.runs[0].received + ns(k.key_window_s))
-        breach(2, id + ": sent again after engines forgot its key", &one);
+        violation(2, id + ": sent again after engines forgot its key", &one);
     }
     const bool ran = std::any_of(one.runs.begin(), one.runs.end(), [](const Run& r) { return r.started; });
     const bool refused = one.answer && (one.answer->kind == "refused" || one.answer->harmless);
     if (!k.safe && !k.keyed && ran && refused && one.answer->kind != "served")
-      breach(2, id + ": unsafe, told to be harmless to repeat though it had begun to run", &one);
+      violation(2, id + ": unsafe, told to be harmless to repeat though it had begun to run", &one);
   }
 
   void effects_of_requests() {
@@ -185,14 +185,14 @@
       const Try& first = tries_[ids.front()];
       const ClassFigures& k = class_of(first);
       if (!k.safe && !k.keyed && applied > 1)
-        breach(
+        violation(
             2,
             "request " + std::to_string(request) + ": unsafe, applied " + std::to_string(applied) + " times",
             &tries_[ids.back()]);
     }
     for (const auto& [id, one] : tries_)
       if (one.asked.what.empty() && !one.runs.empty())
-        breach(2, id + ": ran, and no client asked for it", &one);
+        violation(2, id + ": ran, and no client asked for it", &one);
   }
 
   void places(const std::string& id, const Try& one) {
@@ -201,7 +201,7 @@
     for (const Run& run : one.runs) {
       const auto zone = f_.zones.find(run.engine);
       if (zone == f_.zones.end() || std::find(k.zones.begin(), k.zones.end(), zone->second) == k.zones.end())
-        breach(6, id + ": sent to " + run.engine + ", out of its places", &one);
+        violation(6, id + ": sent to " + run.engine + ", out of its places", &one);
     }
   }
 
@@ -217,7 +217,7 @@
         for (const auto& [id, one] : tries_)
           for (const Run& run : one.runs)
             if (run.engine == engine && run.received > from && run.received < until)
-              breach(3, id + ": sent to " + engine + " after its drain's grace", &one);
+              violation(3, id + ": sent to " + engine + " after its drain's grace", &one);
       }
     }
   }
@@ -225,14 +225,14 @@
   void falls() {
     for (const Record* r : fell_) {
       if (!told_fallen_.insert(r->engine).second) continue;
-      breach(4, r->engine + " fell over while cold", &tries_[r->id]);
+      violation(4, r->engine + " fell over while cold", &tries_[r->id]);
     }
   }
 
   void turns() {
     std::map<std::pair<std::string, std::string>, std::vector<std::pair<std::string, const Try*>>> lines;
     for (const auto& [id, one] : tries_)
-      if (class_of(one).in_turn && !one.asked.key.empty())
+      if (class_of(one).ordered_by_key && !one.asked.key.empty())
         lines[{one.asked.manager, one.asked.key}].emplace_back(id, &one);
     for (auto& [place, line] : lines) {
       std::sort(line.begin(), line.end(),
@@ -245,13 +245,13 @@
             for (const Run& y : b.runs)
               if (x.received < y.received ? x.over > y.received + ns(f_.seen_apart_s)
                                           : y.over > x.received + ns(f_.seen_apart_s))
-                breach(5,
-                       line[i].first + " and " + line[n].first + " of key " + place.second + " ran at once",
-                       &b);
+                violation(
+                    5, line[i].first + " and " + line[n].first + " of key " + place.second + " ran at once",
+                    &b);
           const bool clearly_first = a.asked.t + ns(f_.seen_apart_s) < b.asked.t;
           const bool waits = !a.answer || a.answer->t > b.runs[0].received + ns(f_.seen_apart_s);
           if (clearly_first && waits && (a.runs.empty() || a.runs[0].received > b.runs[0].received))
-            breach(5, line[n].first + " of key " + place.second + " overtook " + line[i].first, &b);
+            violation(5, line[n].first + " of key " + place.second + " overtook " + line[i].first, &b);
         }
       }
     }
@@ -275,8 +275,8 @@
             static_cast<double>(std::upper_bound(all.begin(), all.end(), to + ns(f_.seen_apart_s)) -
                                 std::lower_bound(all.begin(), all.end(), from - ns(f_.seen_apart_s)));
         if (made > f_.budget_floor + f_.budget_share * count + 1e-9) {
-          breach(7, manager + ": " + std::to_string(static_cast<int>(made)) + " further attempts for " +
-                        std::to_string(static_cast<int>(count)) + " requests in its window");
+          violation(7, manager + ": " + std::to_string(static_cast<int>(made)) + " further attempts for " +
+                           std::to_string(static_cast<int>(count)) + " requests in its window");
           break;
         }
       }
@@ -330,7 +330,7 @@
       r.kind = text("kind");
       r.state = text("state");
       r.request = json.value("request", std::int64_t{0});
-      r.patience_ms = json.value("patience_ms", 0.0);
+      r.client_timeout_ms = json.value("patience_ms", 0.0);
       r.harmless = json.value("harmless", false);
       out.push_back(std::move(r));
     }
@@ -357,10 +357,10 @@
                      {"attempts", verdict.attempts},
                      {"answers", verdict.answers}};
   out["breaches"] = nlohmann::json::array();
-  for (const Breach& b : verdict.breaches)
+  for (const RuleViolation& b : verdict.violations)
     out["breaches"].push_back({{"rule", b.rule}, {"what", b.what}, {"history", b.history}});
   for (const auto& [rule, count] : verdict.by_rule) out["by_rule"][std::to_string(rule)] = count;
   return out.dump(2);
 }
 
-}  // namespace paddlestand::audit
+}  // namespace paddlestand::trace_checker
--- a/trace_checker/trace_checker.hpp
+++ b/trace_checker/trace_checker.hpp
@@ -8,20 +8,20 @@
 #include <string>
 #include <vector>
 
-namespace paddlestand::audit {
+namespace paddlestand::trace_checker {
 
 struct Record {  // a line of a log
   std::int64_t t = 0;  // ns, one clock for all logs
   std::string what, id, class_name, key, manager, engine, kind, state;
   std::int64_t request = 0;
-  double patience_ms = 0;
+  double client_timeout_ms = 0;
   bool harmless = false;
 };
 
 struct ClassFigures {
   bool safe = false, keyed = false;  // neither: unsafe
   double key_window_s = 0;
-  bool in_turn = false;
+  bool ordered_by_key = false;
   std::vector<std::string> zones;  // empty: any
 };
 
@@ -33,14 +33,14 @@
   double budget_floor = 0, budget_share = 0, budget_window_s = 0;  // window zero: no such rule
 };
 
-struct Breach {
+struct RuleViolation {
   int rule = 0;  // 1 to 7, as the README of the rules counts them
   std::string what;
   std::vector<std::string> history;  // of the query
 };
 
 struct Verdict {
-  std::vector<Breach> breaches;
+  std::vector<RuleViolation> violations;
   std::map<int, std::size_t> by_rule;
   std::size_t requests = 0, tries = 0, attempts = 0;
   std::map<std::string, std::map<std::string, std::size_t>> answers;  // by class and kind
@@ -55,4 +55,4 @@
 std::string summary(const Verdict& verdict);
 std::string report_json(const Verdict& verdict);
 
-}  // namespace paddlestand::audit
+}  // namespace paddlestand::trace_checker
