--- a/src/config/manager_config.cpp
+++ b/src/config/manager_config.cpp
@@ -9,6 +9,9 @@
 
 using Names = std::map<std::string, std::uint32_t>;
 
+constexpr auto min_engines_poll = std::chrono::milliseconds(10);
+constexpr std::uint32_t max_attempts_setting = 100;
+
 std::string beside(const std::string& config, const std::string& path) {
   if (path.empty()) return {};
   return std::filesystem::absolute(std::filesystem::path(config).parent_path() / path).string();
@@ -107,7 +110,7 @@
     if (out.clock_step < std::chrono::milliseconds(1) || out.clock_step > std::chrono::seconds(1))
       fail(at, "clock-step; wanted: 1ms to 1s");
     out.max_attempts = at.count("most-attempts");
-    if (out.max_attempts > 100) fail(at, "most-attempts; wanted: 1 to 100");
+    if (out.max_attempts > max_attempts_setting) fail(at, "most-attempts; wanted: 1 to 100");
     out.engines_honor_grants = at.flag("grants-heeded");
     out.engines_honor_priorities = at.flag("priorities-heeded");
     out.answers_report_cost = at.flag("answers-tell-cost");
@@ -140,99 +143,140 @@
     if (root.name() != "manager") fail(root, "element '" + root.name() + "'; wanted: manager");
     ManagerConfig out;
     out.name = root.text("name");
-    const Element listen = *root.child("listen");
-    out.listen.address = listen.text("address");
-    out.listen.port = static_cast<std::uint16_t>(listen.count("port"));
-    out.listen.scram = listen.text("authentication") == "scram";
-    out.listen.users_file = beside(file_, listen.text("users"));
-    out.listen.most_sessions = listen.count("most-sessions");
-    out.listen.login_time = listen.time("login-time");
-    out.listen.write_stall = listen.time("write-stall");
-    out.listen.most_message = listen.bytes("most-message");
-    const bool loopback = out.listen.address.starts_with("127.") || out.listen.address == "::1";
-    if (!out.listen.scram && !loopback)
-      fail(listen, "authentication 'trust' on address " + out.listen.address +
+    read_listen(*root.child("listen"), out.listen);
+    read_zones(root, out);
+    read_kinds(*root.child("kinds"), out);
+    read_classes(*root.child("classes"), out);
+    read_tenants(root, out);
+    decisions(*root.child("decisions"), out.core.module);
+    read_rules(root, out);
+    read_engine_channels(root, out);
+    read_buffers(root, out.core);
+    read_engines(*root.child("engines"), out);
+    read_log(root, out.log);
+    if (const auto leave = root.child("leave")) out.leave_grace = leave->time("grace");
+    return out;
+  }
+
+ private:
+  using ClassRule = core::ClassRule;
+
+  void read_listen(const Element& listen, ListenConfig& out) const {
+    out.address = listen.text("address");
+    out.port = static_cast<std::uint16_t>(listen.count("port"));
+    out.scram = listen.text("authentication") == "scram";
+    out.users_file = beside(file_, listen.text("users"));
+    out.most_sessions = listen.count("most-sessions");
+    out.login_time = listen.time("login-time");
+    out.write_stall = listen.time("write-stall");
+    out.most_message = listen.bytes("most-message");
+    const bool loopback = out.address.starts_with("127.") || out.address == "::1";
+    if (!out.scram && !loopback) {
+      fail(listen, "authentication 'trust' on address " + out.address +
                        "; wanted: scram, or an address of 127.0.0.0/8 or ::1");
-    if (out.listen.scram && !listen.has("users"))
-      fail(listen, "authentication 'scram'; wanted: a users file");
-
-    auto& module = out.core.module;
-    if (const auto zones = root.child("zones")) {
-      for (const std::string& name : zones->words("names"))
-        if (!out.zones.emplace(name, out.zones.size()).second)
-          fail(*zones, "zone '" + name + "' comes twice");
-      module.zone = place(*zones, out.zones, zones->text("own"), "zone");
     }
-    for (const Element& one : root.child("kinds")->children("kind")) {
-      out.kinds.emplace(one.text("name"), out.kinds.size());
-      module.kinds.push_back({one.number("cores"), one.number("memory-mb")});
+    if (out.scram && !listen.has("users")) fail(listen, "authentication 'scram'; wanted: a users file");
+  }
+
+  void read_zones(const Element& root, ManagerConfig& out) const {
+    const auto zones = root.child("zones");
+    if (!zones) return;
+    for (const std::string& name : zones->words("names")) {
+      if (!out.zones.emplace(name, out.zones.size()).second) fail(*zones, "zone '" + name + "' comes twice");
+    }
+    out.core.module.zone = place(*zones, out.zones, zones->text("own"), "zone");
+  }
+
+  static void read_kinds(const Element& kinds, ManagerConfig& out) {
+    for (const Element& kind : kinds.children("kind")) {
+      out.kinds.emplace(kind.text("name"), out.kinds.size());
+      out.core.module.kinds.push_back({kind.number("cores"), kind.number("memory-mb")});
     }
-    const Element classes = *root.child("classes");
+  }
+
+  void read_classes(const Element& classes, ManagerConfig& out) const {
     for (const Element& one : classes.children("class"))
-      module.classes.push_back(read_class(one, out.zones, out.kinds));
+      out.core.module.classes.push_back(read_class(one, out.zones, out.kinds));
     out.classifier.class_otherwise = classes.text("otherwise");
-    if (const auto tenants = root.child("tenants")) {
-      for (const Element& one : tenants->children("tenant"))
-        module.tenants.push_back({one.text("name"), one.number("quota-per-s")});
-      out.classifier.tenant_otherwise = tenants->text("otherwise");
-    }
-    decisions(*root.child("decisions"), module);
-    Element rules_at = classes;
+  }
+
+  static void read_tenants(const Element& root, ManagerConfig& out) {
+    const auto tenants = root.child("tenants");
+    if (!tenants) return;
+    for (const Element& tenant : tenants->children("tenant"))
+      out.core.module.tenants.push_back({tenant.text("name"), tenant.number("quota-per-s")});
+    out.classifier.tenant_otherwise = tenants->text("otherwise");
+  }
+
+  /// The rules that put a query into a class. Each is tried alone first, so that a fault is reported at its
+  /// line.
+  void read_rules(const Element& root, ManagerConfig& out) const {
+    const Settings& module = out.core.module;
+    Element rules_at = *root.child("classes");
     if (const auto rules = root.child("rules")) {
       rules_at = *rules;
       out.classifier.refuse_unknown_tags = rules->text("unknown-tags") == "refuse";
       for (const Element& one : rules->children("rule")) {
-        ClassRule rule{one.text("user"),      one.text("database"), one.text("application"),
-                       one.text("statement"), one.text("class"),    one.text("tenant")};
+        const ClassRule rule{one.text("user"),      one.text("database"), one.text("application"),
+                             one.text("statement"), one.text("class"),    one.text("tenant")};
         out.classifier.rules.push_back(rule);
         core::ClassifierSettings alone;
         alone.class_otherwise = module.classes.front().name;
         alone.rules = {rule};
-        if (const core::Classifier tried(alone, module); !tried.problem().empty()) fail(one, tried.problem());
+        const core::Classifier tried(alone, module);
+        if (!tried.problem().empty()) fail(one, tried.problem());
       }
     }
-    if (const core::Classifier tried(out.classifier, module); !tried.problem().empty())
-      fail(rules_at, tried.problem());
-
-    if (const auto channels = root.child("engine-links")) {
-      out.login = {channels->text("user"), channels->text("database"),
-                   beside(file_, channels->text("password-file"))};
-      out.core.channels_per_engine = channels->count("most-per-engine");
-      out.core.idle_channels_per_engine = channels->count("idle-per-engine");
-      out.core.idle_channel_lifetime = channels->time("idle-life");
-      out.core.connect_timeout = channels->time("connect-time");
-      out.core.probe_timeout = channels->time("probe-time");
-      out.core.cancel_grace = channels->time("cancel-grace");
-    } else {
-      using namespace std::chrono_literals;
+    const core::Classifier tried(out.classifier, module);
+    if (!tried.problem().empty()) fail(rules_at, tried.problem());
+  }
+
+  void read_engine_channels(const Element& root, ManagerConfig& out) const {
+    using namespace std::chrono_literals;
+    const auto channels = root.child("engine-links");
+    if (!channels) {
       out.login = {"paddlestand", "paddlestand", {}};
       out.core.idle_channel_lifetime = 60s;
-      out.core.connect_timeout = out.core.probe_timeout = 250ms;
+      out.core.connect_timeout = 250ms;
+      out.core.probe_timeout = 250ms;
       out.core.cancel_grace = 500ms;
+      return;
     }
-    if (const auto buffers = root.child("buffers")) {
-      out.core.answer_buffer = buffers->bytes("answer");
-      out.core.client_window = buffers->bytes("client");
-      out.core.buffers_in_total = buffers->bytes("total");
-    }
-    const Element engines_at = *root.child("engines");
-    out.engines = engines(engines_at, out.zones, out.kinds);
-    out.engines_file = beside(file_, engines_at.text("file"));
-    out.engines_poll = engines_at.time("poll");
-    if (out.engines_poll < std::chrono::milliseconds(10)) fail(engines_at, "poll; wanted: 10ms or more");
+    out.login = {channels->text("user"), channels->text("database"),
+                 beside(file_, channels->text("password-file"))};
+    out.core.channels_per_engine = channels->count("most-per-engine");
+    out.core.idle_channels_per_engine = channels->count("idle-per-engine");
+    out.core.idle_channel_lifetime = channels->time("idle-life");
+    out.core.connect_timeout = channels->time("connect-time");
+    out.core.probe_timeout = channels->time("probe-time");
+    out.core.cancel_grace = channels->time("cancel-grace");
+  }
+
+  static void read_buffers(const Element& root, core::CoreSettings& out) {
+    const auto buffers = root.child("buffers");
+    if (!buffers) return;
+    out.answer_buffer = buffers->bytes("answer");
+    out.client_window = buffers->bytes("client");
+    out.buffers_in_total = buffers->bytes("total");
+  }
+
+  void read_engines(const Element& at, ManagerConfig& out) const {
+    out.engines = engines(at, out.zones, out.kinds);
+    out.engines_file = beside(file_, at.text("file"));
+    out.engines_poll = at.time("poll");
+    if (out.engines_poll < min_engines_poll) fail(at, "poll; wanted: 10ms or more");
     if (!out.engines_file.empty() && !out.engines.empty())
-      fail(engines_at, "engines both here and in a file; wanted: one of the two");
-    if (const auto log = root.child("log")) {
-      out.log = {log->text("level"),       log->text("file"),   log->text("format"),
-                 log->bytes("most-bytes"), log->count("files"), log->flag("answers")};
-      if (out.log.file != "-") out.log.file = beside(file_, out.log.file);
-    }
-    if (const auto leave = root.child("leave")) out.leave_grace = leave->time("grace");
-    return out;
+      fail(at, "engines both here and in a file; wanted: one of the two");
+  }
+
+  void read_log(const Element& root, observe::LogConfig& out) const {
+    const auto log = root.child("log");
+    if (!log) return;
+    out = {log->text("level"),       log->text("file"),   log->text("format"),
+           log->bytes("most-bytes"), log->count("files"), log->flag("answers")};
+    if (out.file != "-") out.file = beside(file_, out.file);
   }
 
- private:
-  using ClassRule = core::ClassRule;
   std::string file_;
 };
 
--- a/src/config/manager_config.hpp
+++ b/src/config/manager_config.hpp
@@ -1,4 +1,5 @@
-// The settings of a workload manager, typed. See schema/manager.xsd and docs/operators/settings.md.
+/// The settings of `paddlestand serve`, typed: the one place where the words of schema/manager.xsd are mapped
+/// to the terms of the code. See docs/operators/settings.md.
 #pragma once
 
 #include <map>
@@ -13,17 +14,20 @@
 
 namespace paddlestand::config {
 
+/// Where an engine listens.
 struct EngineAddress {
   std::string name, address;
   std::uint16_t port{};
   friend bool operator==(const EngineAddress&, const EngineAddress&) = default;
 };
 
+/// An engine of the list.
 struct ListedEngine {
-  EngineEntry entry;  // `started` counts from 1970
+  EngineEntry entry;  ///< `started` counts from 1970
   EngineAddress at;
 };
 
+/// How clients are accepted.
 struct ListenConfig {
   std::string address;
   std::uint16_t port{};
@@ -35,11 +39,13 @@
   friend bool operator==(const ListenConfig&, const ListenConfig&) = default;
 };
 
+/// With what name the manager logs in at engines.
 struct EngineLogin {
   std::string user, database, password_file;
   friend bool operator==(const EngineLogin&, const EngineLogin&) = default;
 };
 
+/// All settings of one manager.
 struct ManagerConfig {
   std::string name;
   ListenConfig listen;
@@ -47,21 +53,23 @@
   core::CoreSettings core;
   core::ClassifierSettings classifier;
   std::vector<ListedEngine> engines;
-  std::string engines_file;  // absolute, or empty
+  std::string engines_file;  ///< absolute, or empty
   Duration engines_poll{};
   observe::LogConfig log;
   Duration leave_grace = std::chrono::seconds(5);
-  std::map<std::string, std::uint32_t> zones, kinds;  // by name: needed to read an engine list
+  std::map<std::string, std::uint32_t> zones, kinds;  ///< index by name: needed to read an engine list
 };
 
+/// Reads a settings file and checks it against the schema and itself; the first fault where there is one.
 std::variant<ManagerConfig, Fault> read_manager_config(const std::string& path);
+/// The same of a text; `name` stands for the file in faults.
 std::variant<ManagerConfig, Fault> parse_manager_config(std::string_view text, const std::string& name);
 
-// An engine list in a file of its own, by the names of the settings that it belongs to.
+/// Reads an engine list in a file of its own, by the zones and kinds of the settings that it belongs to.
 std::variant<std::vector<ListedEngine>, Fault> read_engine_list(const std::string& path,
                                                                 const ManagerConfig& config);
 
-// What differs and can't be changed while the manager runs; empty where a reload may go on.
+/// The setting that differs and can't be changed while the manager runs; empty where a reload may proceed.
 std::string not_reloadable(const ManagerConfig& old, const ManagerConfig& fresh);
 
 }  // namespace paddlestand::config
--- a/src/config/read_file.cpp
+++ b/src/config/read_file.cpp
@@ -35,7 +35,7 @@
   const int file = uninterrupted([&] { return ::open(path.c_str(), O_RDONLY | O_CLOEXEC); });
   if (file < 0) return error_of(SystemCall::open_file, errno);
   std::string text;
-  std::array<char, 65536> part;
+  std::array<char, 65536> part{};
   for (;;) {
     const ssize_t got = uninterrupted([&] { return ::read(file, part.data(), part.size()); });
     const int error_number = errno;
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -8,8 +8,9 @@
 namespace paddlestand::config {
 namespace {
 
-constexpr std::size_t most_items = 4096;  // more classes, kinds or tenants than this are taken for damage
+constexpr std::size_t max_items = 4096;  // more classes, kinds or tenants are damage
 
+/// The lines path=value of the settings. Keeps the first problem that it met.
 class Reader {
  public:
   explicit Reader(std::string_view text) {
@@ -44,7 +45,7 @@
 
   template <typename T>
   T integer(const std::string& key, T otherwise = T{}) {
-    const double value = number<double>(key, static_cast<double>(otherwise));
+    const auto value = number<double>(key, static_cast<double>(otherwise));
     if (!std::isfinite(value) || value < 0 || value >= static_cast<double>(std::numeric_limits<T>::max())) {
       complain("settings value out of range: " + key);
       return otherwise;
@@ -107,7 +108,7 @@
 
   std::size_t count(const std::string& key) {
     const auto items = integer<std::size_t>(key + ".count");
-    if (items <= most_items) return items;
+    if (items <= max_items) return items;
     complain("settings count too large: " + key);
     return 0;
   }
@@ -170,39 +171,37 @@
   return out;
 }
 
-}  // namespace
-
-std::variant<ParsedSettings, std::string> parse_settings(std::string_view text) {
-  Reader in(text);
-  ParsedSettings parsed;
-  Settings& out = parsed.settings;
-  out.instances = in.integer<std::uint32_t>("balancers");
-  out.instance_index = in.integer<std::uint32_t>("position");
-  out.zone = in.integer<std::uint32_t>("az");
-  out.clock_step = in.time("granularity_ns");
-
+void read_classes(Reader& in, Settings& out) {
   const auto threads = in.numbers("family_info.class_threads");
   const auto writes = in.flags("family_info.writes_tables");
   const auto waits = in.flags("family_info.class_waits");
-  for (std::size_t i = 0, n = in.count("classes"); i < n; ++i) {
+  const std::size_t count = in.count("classes");
+  for (std::size_t i = 0; i < count; ++i) {
     ClassSettings item = read_class(in, i);
     item.threads = item_or(threads, i, 1.0);
     item.writes_tables = item_or<bool>(writes, i, false);
     item.waits_for_writers = item_or<bool>(waits, i, false);
     out.classes.push_back(std::move(item));
   }
+}
 
+void read_kinds(Reader& in, Settings& out) {
   const auto cores = in.numbers("family_info.kind_cores");
   const auto memory = in.numbers("family_info.size_mb");
-  for (std::size_t i = 0; i < std::max(cores.size(), memory.size()); ++i) {
+  for (std::size_t i = 0; i < std::max(cores.size(), memory.size()); ++i)
     out.kinds.push_back({item_or(cores, i, 0.0), item_or(memory, i, 0.0)});
-  }
-  for (std::size_t i = 0, n = in.count("tenants"); i < n; ++i) {
+}
+
+void read_tenants(Reader& in, Settings& out) {
+  const std::size_t count = in.count("tenants");
+  for (std::size_t i = 0; i < count; ++i) {
     const std::string at = "tenants." + std::to_string(i) + ".";
     out.tenants.push_back({in.text(at + "name"), in.number<double>(at + "quota_per_s")});
   }
+}
 
-  out.endpoints_on_subscription = in.text("membership_mode") == "ask";
+/// What engines can do and what they report.
+void read_engine_family(Reader& in, Settings& out) {
   out.engines_honor_grants = in.flag("family_info.grants");
   out.engines_honor_priorities = in.flag("family_info.takes_priority");
   out.answers_report_cost = in.flag("family_info.tells_cost");
@@ -213,6 +212,10 @@
                                                    {"overcommit", MemoryShortage::overcommit}},
                                                   MemoryShortage::queue);
   out.progress_report_period = in.time("family_info.note_period_ns");
+}
+
+/// What a manager may do, and what that costs.
+void read_permissions(Reader& in, Settings& out) {
   out.may_cancel = in.flag("permissions.cancel");
   out.may_probe = in.flag("permissions.probes");
   out.may_advise_retry = in.flag("permissions.retry_after");
@@ -223,6 +226,9 @@
   out.gossip_price = in.number<double>("prices.peer");
   out.max_attempts = in.integer<std::uint32_t>("permissions.max_attempts");
   out.max_retry_after = in.time("permissions.max_retry_after_ns");
+}
+
+void read_rules(Reader& in, Settings& out) {
   out.answer_slack = in.time("rules.answer_slack_ns");
   out.drain_grace = in.time("rules.drain_grace_ns");
   out.slow_start_capacity_share = in.number<double>("rules.cold_from");
@@ -230,11 +236,29 @@
   out.overload_multiple = in.number<double>("rules.tip_multiple");
   out.overload_window = in.time("rules.fall_ns");
   out.ordering_settle_time = in.time("rules.order_settle_ns");
-  if (in.has("rules.extra_floor") || in.has("rules.repeat_ratio") || in.has("rules.look_back_ns")) {
-    out.retry_budget =
-        RetryBudgetSettings{in.number<double>("rules.extra_floor"), in.number<double>("rules.repeat_ratio"),
-                            in.time("rules.look_back_ns")};
-  }
+  if (!in.has("rules.extra_floor") && !in.has("rules.repeat_ratio") && !in.has("rules.look_back_ns")) return;
+  out.retry_budget =
+      RetryBudgetSettings{in.number<double>("rules.extra_floor"), in.number<double>("rules.repeat_ratio"),
+                          in.time("rules.look_back_ns")};
+}
+
+}  // namespace
+
+std::variant<ParsedSettings, std::string> parse_settings(std::string_view text) {
+  Reader in(text);
+  ParsedSettings parsed;
+  Settings& out = parsed.settings;
+  out.instances = in.integer<std::uint32_t>("balancers");
+  out.instance_index = in.integer<std::uint32_t>("position");
+  out.zone = in.integer<std::uint32_t>("az");
+  out.clock_step = in.time("granularity_ns");
+  read_classes(in, out);
+  read_kinds(in, out);
+  read_tenants(in, out);
+  out.endpoints_on_subscription = in.text("membership_mode") == "ask";
+  read_engine_family(in, out);
+  read_permissions(in, out);
+  read_rules(in, out);
   parsed.report_names = in.list("report.names");
   if (!in.problem().empty()) return in.problem();
   return parsed;
--- a/src/config/xml.hpp
+++ b/src/config/xml.hpp
@@ -67,7 +67,7 @@
   std::string file_;
 };
 
-inline constexpr std::size_t most_file_bytes = 16 * 1024 * 1024;
+inline constexpr std::size_t most_file_bytes = std::size_t{16} * 1024 * 1024;
 
 // "250ms", "1.5s"
 Duration read_time(std::string_view text);
