--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -13,13 +13,48 @@
 namespace paddlestand::observe {
 namespace {
 
-constexpr std::size_t most_waiting = 8192;  // lines; about 2 MiB
+constexpr std::size_t max_queued_lines = 8192;  // lines; about 2 MiB
 
 std::string quoted(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-double milliseconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
+double milliseconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-6; }
+
+std::string_view outcome_of(const core::AttemptAccount& attempt) {
+  return attempt.result ? name_of(*attempt.result) : "out";
+}
+
+// Names in an answer are of the settings and of this program: none needs quoting.
+void put_answer_json(fmt::memory_buffer& line, const core::Answer& answer, std::string_view class_name) {
+  const auto out = std::back_inserter(line);
+  fmt::format_to(out, R"("event":"answer","query":{},"session":{},"class":"{}","kind":"{}")", answer.query,
+                 answer.session, class_name, name_of(answer.kind));
+  if (answer.deadline_exceeded) fmt::format_to(out, R"(,"time_up":true)");
+  if (answer.begun) fmt::format_to(out, R"(,"begun":true)");
+  if (answer.retry_after.count() > 0)
+    fmt::format_to(out, R"(,"retry_after_ms":{:.3f})", milliseconds(answer.retry_after));
+  fmt::format_to(out, R"(,"took_ms":{:.3f},"attempts":[)", milliseconds(answer.took));
+  std::string_view separator;
+  for (const core::AttemptAccount& attempt : answer.attempts) {
+    fmt::format_to(out, R"({}{{"engine":{},"result":"{}","at_ms":{:.3f},"took_ms":{:.3f}}})", separator,
+                   attempt.engine, outcome_of(attempt), milliseconds(attempt.began),
+                   milliseconds(attempt.took));
+    separator = ",";
+  }
+  fmt::format_to(out, "]");
+}
+
+void put_answer_text(fmt::memory_buffer& line, const core::Answer& answer, std::string_view class_name) {
+  const auto out = std::back_inserter(line);
+  fmt::format_to(out, "answer: query {} class {} {}{} in {:.3f} ms;", answer.query, class_name,
+                 name_of(answer.kind), answer.deadline_exceeded ? " (time up)" : "",
+                 milliseconds(answer.took));
+  for (const core::AttemptAccount& attempt : answer.attempts) {
+    fmt::format_to(out, " engine {} {} after {:.3f} ms;", attempt.engine, outcome_of(attempt),
+                   milliseconds(attempt.took));
+  }
+}
 
 }  // namespace
 
@@ -40,9 +75,9 @@
   if (config.file == "-") {
     sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
   } else {
-    sink = std::make_shared<FileSink>(config.file, config.most_bytes, config.files);
+    sink = std::make_shared<FileSink>(config.file, config.max_bytes, config.files);
   }
-  pool_ = std::make_shared<spdlog::details::thread_pool>(most_waiting, 1);
+  pool_ = std::make_shared<spdlog::details::thread_pool>(max_queued_lines, 1);
   logger_ = std::make_shared<spdlog::async_logger>(manager_, sink, pool_,
                                                    spdlog::async_overflow_policy::overrun_oldest);
   logger_->set_error_handler([](const std::string&) {});  // a full disk: nothing to say it to
@@ -93,32 +128,11 @@
 
 void Log::answer(const core::Answer& answer, std::string_view class_name) {
   if (!answers_ || !logger_->should_log(spdlog::level::info)) return;
-  // Names in here are the settings' own and ours: nothing that needs quoting.
   fmt::memory_buffer line;
-  const auto out = std::back_inserter(line);
   if (json_) {
-    fmt::format_to(out, R"("event":"answer","query":{},"session":{},"class":"{}","kind":"{}")", answer.query,
-                   answer.session, class_name, name_of(answer.kind));
-    if (answer.deadline_exceeded) fmt::format_to(out, R"(,"time_up":true)");
-    if (answer.begun) fmt::format_to(out, R"(,"begun":true)");
-    if (answer.retry_after.count() > 0)
-      fmt::format_to(out, R"(,"retry_after_ms":{:.3f})", milliseconds(answer.retry_after));
-    fmt::format_to(out, R"(,"took_ms":{:.3f},"attempts":[)", milliseconds(answer.took));
-    bool first = true;
-    for (const core::AttemptAccount& a : answer.attempts) {
-      fmt::format_to(out, R"({}{{"engine":{},"result":"{}","at_ms":{:.3f},"took_ms":{:.3f}}})",
-                     first ? "" : ",", a.engine, a.result ? name_of(*a.result) : "out", milliseconds(a.began),
-                     milliseconds(a.took));
-      first = false;
-    }
-    fmt::format_to(out, "]");
+    put_answer_json(line, answer, class_name);
   } else {
-    fmt::format_to(out, "answer: query {} class {} {}{} in {:.3f} ms;", answer.query, class_name,
-                   name_of(answer.kind), answer.deadline_exceeded ? " (time up)" : "",
-                   milliseconds(answer.took));
-    for (const core::AttemptAccount& a : answer.attempts)
-      fmt::format_to(out, " engine {} {} after {:.3f} ms;", a.engine, a.result ? name_of(*a.result) : "out",
-                     milliseconds(a.took));
+    put_answer_text(line, answer, class_name);
   }
   logger_->log(spdlog::level::info, std::string_view(line.data(), line.size()));
 }
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -1,6 +1,6 @@
-// Structured logs over spdlog: one JSON object a line, or the same for a console. Lines wait in a bounded
-// queue for a writer thread: where the disk is slow or full the oldest that wait are lost, and decisions go
-// on.
+/// Structured logs over spdlog: one JSON object a line, or the same for a console. Lines wait in a bounded
+/// queue for a writer thread: where the disk is slow or full the oldest that wait are lost, and the event
+/// loop is never blocked.
 #pragma once
 
 #include <spdlog/async.h>
@@ -16,6 +16,7 @@
 
 namespace paddlestand::observe {
 
+/// The log of one manager. Owned by its host; may be used from the host's thread only.
 class Log {
  public:
   Log(const LogConfig& config, std::string manager);
@@ -23,21 +24,23 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
+  /// debug, info, warning or error; anything else is info.
   void set_level(std::string_view level);
 
-  // `event` is a short fixed word, `text` for people.
+  /// `event` is a short fixed name, `text` for people.
   void debug(std::string_view event, std::string_view text) { write(spdlog::level::debug, event, text); }
   void info(std::string_view event, std::string_view text) { write(spdlog::level::info, event, text); }
   void warn(std::string_view event, std::string_view text) { write(spdlog::level::warn, event, text); }
   void error(std::string_view event, std::string_view text) { write(spdlog::level::err, event, text); }
 
+  /// A query's final answer and what became of its attempts, where the settings ask for them.
   void answer(const core::Answer& answer, std::string_view class_name);
 
-  // Writes what is queued and ends the log. False where that takes longer than the limit, as with a reader
-  // that is stuck: the writer is left to itself then, and only _Exit() ends the process in time.
+  /// Writes what is queued and ends the log. False where that takes longer than the limit, as with a reader
+  /// that is stuck: the writer thread is abandoned then, and only _Exit() ends the process in time.
   bool close_within(std::chrono::milliseconds limit);
 
-  // Lines that were lost because the queue was full.
+  /// Lines that were lost because the queue was full.
   [[nodiscard]] std::size_t lost() const;
 
  private:
@@ -49,6 +52,7 @@
   std::shared_ptr<spdlog::logger> logger_;
 };
 
+/// Names as they stand in the log.
 std::string_view name_of(core::AnswerKind kind);
 std::string_view name_of(AttemptResult result);
 
--- a/src/protocol/sql/scan.cpp
+++ b/src/protocol/sql/scan.cpp
@@ -2,11 +2,13 @@
 
 #include <algorithm>
 #include <cctype>
+#include <cstdint>
 
 namespace paddlestand::sql {
 namespace {
 
-constexpr std::size_t most_literal = 256;  // what settings need of one
+constexpr std::size_t max_literal_bytes = 256;  // kept of a literal: what settings need
+constexpr std::size_t max_word_bytes = 64;  // kept of a name or a number
 
 bool starts_word(char c) {
   return std::isalpha(static_cast<unsigned char>(c)) != 0 || c == '_' || static_cast<unsigned char>(c) >= 128;
@@ -15,67 +17,90 @@
   return starts_word(c) || std::isdigit(static_cast<unsigned char>(c)) != 0 || c == '$';
 }
 
+/// Whether a backslash escapes in a quoted text.
+enum class Escapes : std::uint8_t { none, backslash };
+
 class Scanner {
  public:
-  Scanner(std::string_view text, std::size_t words) : text_(text), most_(words) {}
+  Scanner(std::string_view text, std::size_t words) : text_(text), max_words_(words) {}
 
   Scanned run() {
-    while (at_ < text_.size()) {
-      const char c = text_[at_];
-      if (c == ';') {
-        finish();
-        start_ = ++at_;
-      } else if (std::isspace(static_cast<unsigned char>(c)) != 0) {
-        ++at_;
-      } else if (c == '-' && peek(1) == '-') {
-        at_ = std::min(text_.find('\n', at_), text_.size());
-      } else if (c == '/' && peek(1) == '*') {
-        comment();
-      } else if (c == '\'') {
-        const std::size_t from = at_ + 1;
-        quoted('\'', previous_escapes_);
-        word("'" +
-             std::string(text_.substr(from, std::min(at_ - from - (at_ > from ? 1 : 0), most_literal))));
-      } else if (c == '"') {
-        const std::size_t from = at_;
-        quoted('"', false);
-        word(std::string(text_.substr(from, at_ - from)));
-      } else if (c == '$' && dollar()) {
-        word("'");
-      } else if (starts_word(c)) {
-        const std::size_t from = at_;
-        while (at_ < text_.size() && in_word(text_[at_])) ++at_;
-        std::string name(text_.substr(from, std::min<std::size_t>(at_ - from, 64)));
-        std::transform(name.begin(), name.end(), name.begin(),
-                       [](unsigned char ch) { return static_cast<char>(std::tolower(ch)); });
-        previous_escapes_ = name == "e" && peek(0) == '\'';
-        if (!previous_escapes_) word(std::move(name));
-        continue;
-      } else if (std::isdigit(static_cast<unsigned char>(c)) != 0) {
-        const std::size_t from = at_;
-        while (at_ < text_.size() && (in_word(text_[at_]) || text_[at_] == '.')) ++at_;
-        word(std::string(text_.substr(from, std::min<std::size_t>(at_ - from, 64))));
-      } else {
-        word(std::string(1, c));
-        ++at_;
-      }
-      previous_escapes_ = false;
-    }
-    finish();
+    while (at_ < text_.size()) scan_token();
+    finish_statement();
     return std::move(found_);
   }
 
  private:
+  void scan_token() {
+    const char c = text_[at_];
+    if (starts_word(c)) {
+      scan_name();
+      return;
+    }
+    if (c == ';') {
+      finish_statement();
+      start_ = ++at_;
+    } else if (std::isspace(static_cast<unsigned char>(c)) != 0) {
+      ++at_;
+    } else if (c == '-' && peek(1) == '-') {
+      at_ = std::min(text_.find('\n', at_), text_.size());
+    } else if (c == '/' && peek(1) == '*') {
+      skip_comment();
+    } else if (c == '\'') {
+      scan_literal();
+    } else if (c == '"') {
+      const std::size_t from = at_;
+      skip_quoted('"', Escapes::none);
+      add_word(std::string(text_.substr(from, at_ - from)));
+    } else if (c == '$' && skip_dollar_quoted()) {
+      add_word("'");
+    } else if (std::isdigit(static_cast<unsigned char>(c)) != 0) {
+      scan_number();
+    } else {
+      add_word(std::string(1, c));
+      ++at_;
+    }
+    next_literal_ = Escapes::none;
+  }
+
+  /// A name or a keyword; the E of an escape string literal is part of the literal behind it.
+  void scan_name() {
+    const std::size_t from = at_;
+    while (at_ < text_.size() && in_word(text_[at_])) ++at_;
+    std::string name(text_.substr(from, std::min(at_ - from, max_word_bytes)));
+    std::transform(name.begin(), name.end(), name.begin(),
+                   [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
+    if (name == "e" && peek(0) == '\'') {
+      next_literal_ = Escapes::backslash;
+      return;
+    }
+    next_literal_ = Escapes::none;
+    add_word(std::move(name));
+  }
+
+  void scan_literal() {
+    const std::size_t from = at_ + 1;
+    skip_quoted('\'', next_literal_);
+    const std::size_t length = at_ - from - (at_ > from ? 1 : 0);
+    add_word("'" + std::string(text_.substr(from, std::min(length, max_literal_bytes))));
+  }
+
+  void scan_number() {
+    const std::size_t from = at_;
+    while (at_ < text_.size() && (in_word(text_[at_]) || text_[at_] == '.')) ++at_;
+    add_word(std::string(text_.substr(from, std::min(at_ - from, max_word_bytes))));
+  }
+
   [[nodiscard]] char peek(std::size_t ahead) const {
     return at_ + ahead < text_.size() ? text_[at_ + ahead] : '\0';
   }
 
-  void word(std::string what) {
+  void add_word(std::string word) {
     any_ = true;
-    if (current_.words.size() < most_) current_.words.push_back(std::move(what));
+    if (current_.words.size() < max_words_) current_.words.push_back(std::move(word));
   }
 
-  void finish() {
+  void finish_statement() {
     if (any_) {
       current_.text = text_.substr(start_, at_ - start_);
       if (found_.statements.size() < most_statements) {
@@ -88,7 +113,7 @@
     any_ = false;
   }
 
-  void comment() {
+  void skip_comment() {
     const std::size_t from = at_ + 2;
     int depth = 1;
     at_ += 2;
@@ -108,9 +133,9 @@
     }
   }
 
-  void quoted(char mark, bool escapes) {
+  void skip_quoted(char mark, Escapes escapes) {
     for (++at_; at_ < text_.size(); ++at_) {
-      if (escapes && text_[at_] == '\\') {
+      if (escapes == Escapes::backslash && text_[at_] == '\\') {
         ++at_;
       } else if (text_[at_] == mark) {
         if (peek(1) != mark) {
@@ -123,7 +148,8 @@
     at_ = text_.size();
   }
 
-  bool dollar() {
+  /// Skips a dollar-quoted literal; false where the sign begins none.
+  bool skip_dollar_quoted() {
     std::size_t end = at_ + 1;
     while (end < text_.size() && in_word(text_[end]) && text_[end] != '$') ++end;
     if (end >= text_.size() || text_[end] != '$') return false;
@@ -135,10 +161,11 @@
   }
 
   std::string_view text_;
-  std::size_t most_;
+  std::size_t max_words_;  ///< kept of each statement
   std::size_t at_ = 0, start_ = 0;
   Statement current_;
-  bool any_ = false, previous_escapes_ = false;
+  bool any_ = false;  ///< something of a statement was read since the last one ended
+  Escapes next_literal_ = Escapes::none;
   Scanned found_;
 };
 
--- a/src/protocol/sql/tables.cpp
+++ b/src/protocol/sql/tables.cpp
@@ -10,7 +10,7 @@
 namespace paddlestand::sql {
 namespace {
 
-constexpr std::size_t words_read = 4096;  // of a statement: tables are named early in it
+constexpr std::size_t max_words = 4096;  // of a statement: tables are named early in it
 
 std::optional<std::uint32_t> number_of(std::string_view schema) {
   if (schema.size() >= 2 && schema.front() == '"' && schema.back() == '"')
@@ -36,7 +36,7 @@
 std::optional<std::uint32_t> table_group(std::string_view statement) {
   constexpr std::array<std::string_view, 6> leads{"from", "join", "into", "update", "table", "using"};
   std::optional<std::uint32_t> other;
-  for (const Statement& one : scan(statement, words_read).statements) {
+  for (const Statement& one : scan(statement, max_words).statements) {
     const auto& words = one.words;
     for (std::size_t i = 0; i + 2 < words.size(); ++i) {
       if (words[i + 1] != "." || !is_name(words[i]) || !is_name(words[i + 2])) continue;
--- a/src/protocol/sql/tables.hpp
+++ b/src/protocol/sql/tables.hpp
@@ -1,5 +1,5 @@
-// The group of tables that a statement reads or writes: the number after the underscore in the name of a
-// schema, 17 in sales_17.orders.
+/// The group of tables that a statement reads or writes: the number after the underscore in the name of a
+/// schema, 17 in sales_17.orders. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,8 @@
 
 namespace paddlestand::sql {
 
-// Names in strings and comments do not count, nor does the schema `staging`.
+/// The group, if the statement names a table of one. Names in strings and comments do not count, nor does the
+/// schema `staging`.
 std::optional<std::uint32_t> table_group(std::string_view statement);
 
 }  // namespace paddlestand::sql
