--- a/bench/manager_bench.cpp
+++ b/bench/manager_bench.cpp
@@ -1,5 +1,5 @@
 // What the manager costs: throughput and latency through it, straight to an engine, and through a bare byte
-// relay in its place, in one run, so that ratios hold on a noisy machine. See docs/bench.md.
+// relay in its place, in one run, so that ratios hold on a noisy machine. See docs/capacity.md.
 #include <sys/resource.h>
 #include <unistd.h>
 
--- a/simulation/explorer/digest.hpp
+++ b/simulation/explorer/digest.hpp
@@ -27,7 +27,7 @@
   // Histories are shorter than the windows: that it is counted is all that matters.
   void counted(double&) override {}
   void name(Name kind, std::uint64_t& id) override;
-  // Draws only break ties between engines that are alike; docs/design/exploration.md says what that loses.
+  // Draws only break ties between engines that are alike; docs/architecture/exploration.md says what that loses.
   void generator(std::mt19937_64&) override {}
   std::size_t table(std::size_t entries, bool in_order) override;
   void entry() override;
