--- a/include/paddlestand/workload_manager.hpp
+++ b/include/paddlestand/workload_manager.hpp
@@ -1,5 +1,5 @@
 // The interface of the decision module: its settings, its events, its actions. Types only.
-// The decisions themselves are in src/workload_manager.cpp.
+// The decisions themselves are in src/decision/.
 #pragma once
 
 #include <chrono>
--- /dev/null
+++ b/src/decision/action_sink.hpp
@@ -0,0 +1,30 @@
+/// \file
+/// Where the module's parts put the actions that follow from an event.
+#pragma once
+
+#include <utility>
+#include <vector>
+
+#include "decision/units.hpp"
+#include "paddlestand/workload_manager.hpp"
+
+namespace paddlestand::decision {
+
+/// Appends to the caller's list of actions; the list must be set before the first action of each event.
+class ActionSink {
+ public:
+  void write_to(std::vector<Action>& actions) { actions_ = &actions; }
+
+  template <typename T>
+  void emit(T action) {
+    actions_->emplace_back(std::in_place_type<T>, std::move(action));
+  }
+
+  /// Wakes the manager after so many seconds.
+  void set_timer(double after) { emit(SetTimer{0, to_duration(after)}); }
+
+ private:
+  std::vector<Action>* actions_ = nullptr;
+};
+
+}  // namespace paddlestand::decision
--- /dev/null
+++ b/src/decision/engine_table.hpp
@@ -0,0 +1,67 @@
+/// \file
+/// What a manager knows of each engine. Times are seconds since the manager's first event.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <utility>
+
+#include "paddlestand/workload_manager.hpp"
+
+namespace paddlestand::decision {
+
+/// Standing of an engine with the outlier detector.
+enum class Health : std::uint8_t {
+  healthy,
+  ejected,  // gets no requests
+  probation,  // gets one safe request at a time
+};
+
+/// Time of an ejection when it is the first, in seconds.
+inline constexpr double initial_ejection_time = 1.0;
+
+/// One engine, listed or still remembered.
+struct Engine {
+  EngineEntry entry;
+  bool is_listed = false;
+  bool is_probing = false;  // a health check is in flight
+  double cores = 1;
+  double memory_capacity = 0;  // MB; 0: unknown
+
+  // In flight, sent by this manager.
+  double queries = 0;
+  double threads = 0;
+  double memory = 0;  // MB granted
+  std::map<double, int> writers;  // writing requests, by group of tables
+
+  // In flight, announced by peers.
+  double peer_threads = 0;
+  double peer_memory = 0;  // MB
+
+  // Outlier detection.
+  Health health = Health::healthy;
+  double failure_rate = 0;  // share of outcomes that were failures, as of the last outcome
+  double last_outcome_at = -1e9;
+  double last_answer_at = -1e9;
+  double overdue_attempts = 0;  // far overdue ones count twice
+  double busy_since = 0;  // since when something was in flight without a break
+  double ejected_until = 0;
+  double ejection_time = initial_ejection_time;
+  int probation_successes = 0;
+  double overloaded_until = -1e9;  // it rejected an attempt: backoff
+
+  // Slow start.
+  double slow_start_until = -1e9;
+  std::deque<std::pair<double, double>> slow_start_sends;  // time, work
+
+  [[nodiscard]] bool is_ready() const { return is_listed && entry.state == EngineState::ready; }
+};
+
+/// All engines, in order of their ids.
+using EngineTable = std::map<EngineId, Engine>;
+
+/// Visits all engines; `origin` is the manager's first event on the host's clock.
+void visit_engines(StateVisitor& visitor, EngineTable& engines, TimePoint origin);
+
+}  // namespace paddlestand::decision
--- /dev/null
+++ b/src/decision/resource_grants.cpp
@@ -0,0 +1,71 @@
+#include "decision/resource_grants.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "decision/units.hpp"
+
+namespace paddlestand::decision {
+namespace {
+
+/// Ratio of cores between neighbouring priorities (engines: 1 : 4 : 8 : 16).
+constexpr double priority_step_ratio = 4;
+/// Grant over the corrected estimate, as engines choose by themselves.
+constexpr double grant_over_estimate = 1.25;
+/// Factor on grants where only memory in use counts: a grant too large costs nothing there.
+constexpr double unused_grant_factor = 2;
+/// Standard deviations over the memory bound that are allowed: few managers are at a small bound at once, but
+/// what fills memory stays long.
+constexpr double memory_deviations = 0.8;
+/// Least priority weight for each second of work, over the mean's, for the priorities 3, 2 and 1.
+constexpr double priority_3_density = 2;
+constexpr double priority_2_density = 0.7;
+constexpr double priority_1_density = 0.25;
+
+}  // namespace
+
+std::uint8_t ResourceGrants::priority_of(const Request& request) const {
+  const TrafficMix mix = costs_.traffic_mix();
+  if (request.over_quota || state_.now > request.arrived_at + costs_.latency_objective_of(request)) return 0;
+  const double density = costs_.priority_weight(request.class_index) / costs_.cost_of(request) * mix.work /
+                         std::max(mix.priority_weight, 1e-6);
+  if (density > priority_3_density) return 3;
+  if (density > priority_2_density) return 2;
+  return density > priority_1_density ? 1 : 0;
+}
+
+double ResourceGrants::granted_memory(const Request& request) const {
+  const double bias = state_.settings.engines_honor_grants ? state_.class_of(request).memory_bias : 1.0;
+  return positive_or(request.estimated_memory, 0.0) * bias * grant_over_estimate;
+}
+
+bool ResourceGrants::has_memory_for(const Request& request) const {
+  if (state_.settings.memory_shortage == MemoryShortage::queue) return true;
+  if (state_.class_of(request).is_announced) return true;
+  if (state_.unannounced_memory <= 0) return true;
+  const double needed = granted_memory(request);
+  const double bound = state_.fleet.memory_bound;
+  return state_.unannounced_memory + needed <= bound + memory_deviations * std::sqrt(bound * needed);
+}
+
+double ResourceGrants::competing_threads(const Request& request) const {
+  const std::uint8_t own = priority_of(request);
+  double sum = 0;
+  for (std::uint8_t priority = 0; priority < state_.threads_by_priority.size(); ++priority) {
+    const bool is_lower = state_.settings.engines_honor_priorities && priority < own;
+    sum +=
+        state_.threads_by_priority[priority] * (is_lower ? std::pow(priority_step_ratio, priority - own) : 1);
+  }
+  return sum;
+}
+
+std::optional<SetResourceGrant> ResourceGrants::grant_for(const Request& request,
+                                                          const Attempt& attempt) const {
+  const Settings& settings = state_.settings;
+  if (!settings.engines_honor_priorities && !settings.engines_honor_grants) return std::nullopt;
+  const double factor = settings.memory_shortage == MemoryShortage::overcommit ? unused_grant_factor : 1;
+  const double memory = settings.engines_honor_grants ? attempt.granted_memory * factor : 0.0;
+  return SetResourceGrant{request.id, attempt.priority, memory};
+}
+
+}  // namespace paddlestand::decision
--- /dev/null
+++ b/src/decision/tenant_quota.cpp
@@ -0,0 +1,44 @@
+#include "decision/tenant_quota.hpp"
+
+#include <algorithm>
+
+#include "decision/units.hpp"
+#include "decision/visit_fields.hpp"
+
+namespace paddlestand::decision {
+namespace {
+
+/// Requests that may come at once beyond a second of the rate. A small rate's few requests cluster by chance,
+/// so its bucket must hold some.
+constexpr double burst_allowance = 3;
+
+}  // namespace
+
+TenantQuota::TenantQuota(const Settings& settings) : settings_(settings) {
+  for (std::size_t i = 0; i < settings_.tenants.size(); ++i) tokens_.push_back(depth(i));
+}
+
+bool TenantQuota::consume(std::uint32_t tenant, double now) {
+  if (tenant >= settings_.tenants.size()) return true;
+  for (std::size_t i = 0; i < tokens_.size(); ++i) {
+    tokens_[i] = std::min(depth(i), tokens_[i] + rate(i) * (now - refilled_at_));
+  }
+  refilled_at_ = now;
+  if (tokens_[tenant] < 1) return false;
+  tokens_[tenant] -= 1;
+  return true;
+}
+
+double TenantQuota::rate(std::size_t tenant) const {
+  return positive_or(settings_.tenants[tenant].quota_per_s, 0.0) / instance_count(settings_);
+}
+
+double TenantQuota::depth(std::size_t tenant) const { return rate(tenant) + burst_allowance; }
+
+void TenantQuota::visit_tokens(StateVisitor& visitor) {
+  visit_sequence(visitor, tokens_, [&](double& tokens) { visitor.number(tokens); });
+}
+
+void TenantQuota::visit_refill_time(StateVisitor& visitor) { visitor.since(refilled_at_); }
+
+}  // namespace paddlestand::decision
