--- a/apps/paddlestand.cpp
+++ b/apps/paddlestand.cpp
@@ -1,4 +1,5 @@
-// The command line.
+/// The command line: the subcommands `serve`, `check-config` and `make-verifier`, and those of the other
+/// files.
 #include <openssl/rand.h>
 #include <sys/resource.h>
 
@@ -8,7 +9,9 @@
 #include <filesystem>
 #include <fstream>
 #include <iostream>
-#include <sstream>
+#include <thread>
+#include <utility>
+#include <variant>
 
 #include "commands.hpp"
 #include "config/manager_config.hpp"
@@ -20,67 +23,96 @@
 namespace paddlestand::app {
 namespace {
 
-// Sessions and links want descriptors; an ordinary user may raise the soft limit up to the hard one.
-void raise_descriptors() {
+constexpr std::size_t max_file_bytes = 64U << 20U;
+constexpr std::size_t salt_bytes = 16;
+
+struct ServeOptions {
+  std::string config_path;
+  std::string port_file;  // empty: none is written
+  bool keep_descriptor_limit = false;
+};
+
+/// What the settings name beside themselves.
+struct Credentials {
+  pg::Users users;
+  std::string engine_password;
+};
+
+/// Raises the soft limit of descriptors to the hard one, as any user may: sessions and channels need them.
+void raise_descriptor_limit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// Until the file can be read, or the reason is none that passes.
+/// Waits, for a bounded time, until the file can be read or the error is not a transient one. An empty path
+/// names no file.
 void wait_for_file(const std::string& path) {
-  constexpr std::size_t most_bytes = 64U << 20U;
   const auto end = std::chrono::steady_clock::now() + longest_start;
   while (!path.empty() && std::chrono::steady_clock::now() < end) {
-    const auto read = config::read_file(path, most_bytes);
+    const auto read = config::read_file(path, max_file_bytes);
     const auto* error = std::get_if<config::FileError>(&read);
     if (error == nullptr || !error->transient) return;
     std::this_thread::sleep_for(start_pause);
   }
 }
 
-// Whole or not at all, since somebody waits for it; again where the disk fails for a moment.
+/// Writes the port to a file that appears complete or not at all, since another process waits for it. Retries
+/// for a bounded time while its folder exists; false where it could not be written.
 bool write_port_file(const std::string& path, std::uint16_t port) {
-  const std::string fresh = path + ".new";
+  const std::string temporary = path + ".new";
   const auto folder = std::filesystem::absolute(path).parent_path();
   const auto end = std::chrono::steady_clock::now() + longest_start;
   do {
-    std::ofstream file(fresh);
+    std::ofstream file(temporary);
     file << port << "\n";
     file.close();
-    if (file && std::rename(fresh.c_str(), path.c_str()) == 0) return true;
+    if (file && std::rename(temporary.c_str(), path.c_str()) == 0) return true;
     std::this_thread::sleep_for(start_pause);
   } while (std::filesystem::exists(folder) && std::chrono::steady_clock::now() < end);
   return false;
 }
 
-int serve(const std::string& path, const std::string& port_file, bool keep_limit) {
+/// The credentials that the settings name. `before_read` is called with each file before it is read.
+template <typename BeforeRead>
+std::variant<Credentials, service::CredentialsError> read_credentials(const config::ManagerConfig& config,
+                                                                      BeforeRead before_read) {
+  if (config.listen.scram) before_read(config.listen.users_file);
+  auto users = service::read_users(config.listen);
+  if (auto* error = std::get_if<service::CredentialsError>(&users)) return std::move(*error);
+  before_read(config.login.password_file);
+  auto password = service::read_password(config.login.password_file);
+  if (auto* error = std::get_if<service::CredentialsError>(&password)) return std::move(*error);
+  return Credentials{std::get<pg::Users>(std::move(users)), std::get<std::string>(std::move(password))};
+}
+
+/// Runs the manager as a PostgreSQL server until SIGTERM.
+int serve(const ServeOptions& options) {
   service::PendingSignals::install();
-  wait_for_file(path);
-  auto read = config::read_manager_config(path);
+  wait_for_file(options.config_path);
+  const auto read = config::read_manager_config(options.config_path);
   if (const auto* fault = std::get_if<config::Fault>(&read)) return complain(fault->text());
-  auto& config = std::get<config::ManagerConfig>(read);
-  pg::Users users;
-  std::string password;
-  if (config.listen.scram) wait_for_file(config.listen.users_file);
-  if (const auto problem = service::read_users(config.listen, users); !problem.empty())
-    return complain(problem);
-  wait_for_file(config.login.password_file);
-  if (const auto problem = service::read_secret(config.login.password_file, password); !problem.empty())
-    return complain(problem);
-  if (!keep_limit) raise_descriptors();
-  const std::string where = config.listen.address + ":" + std::to_string(config.listen.port);
+  const auto& config = std::get<config::ManagerConfig>(read);
+  const auto credentials = read_credentials(config, wait_for_file);
+  if (const auto* error = std::get_if<service::CredentialsError>(&credentials))
+    return complain(error->text());
+  const auto& logins = std::get<Credentials>(credentials);
+  if (!options.keep_descriptor_limit) raise_descriptor_limit();
+
+  const std::string address = config.listen.address + ":" + std::to_string(config.listen.port);
   Hosted<service::PostgresServer> hosted;
-  const bool started = start_host(hosted, where, [&](boost::asio::io_context& io) {
-    return std::make_unique<service::PostgresServer>(io, config, path, users, password);
+  const bool started = start_host(hosted, address, [&](boost::asio::io_context& io) {
+    return std::make_unique<service::PostgresServer>(io, config, options.config_path, logins.users,
+                                                     logins.engine_password);
   });
   if (!started) return exit_failed;
-  if (!port_file.empty() && !write_port_file(port_file, hosted.host->port()))
-    return complain(port_file + ": can't be written");
+  if (!options.port_file.empty() && !write_port_file(options.port_file, hosted.host->port()))
+    return complain(options.port_file + ": can't be written");
   return run_host(hosted);
 }
 
+/// Reads the settings and the files that they name, and prints a summary or the first fault.
 int check_config(const std::string& path) {
   const auto read = config::read_manager_config(path);
   if (const auto* fault = std::get_if<config::Fault>(&read)) return complain(fault->text());
@@ -91,28 +123,55 @@
     if (const auto* fault = std::get_if<config::Fault>(&list)) return complain(fault->text());
     engines = std::get<std::vector<config::ListedEngine>>(list).size();
   }
-  pg::Users users;
-  std::string password;
-  if (const auto problem = service::read_users(config.listen, users); !problem.empty())
-    return complain(problem);
-  if (const auto problem = service::read_secret(config.login.password_file, password); !problem.empty())
-    return complain(problem);
+  const auto credentials = read_credentials(config, [](const std::string&) {});
+  if (const auto* error = std::get_if<service::CredentialsError>(&credentials))
+    return complain(error->text());
   std::cout << path << ": manager '" << config.name << "', " << config.core.module.classes.size()
-            << " classes, " << engines << " engines, " << users.verifiers.size() << " users\n";
+            << " classes, " << engines << " engines, "
+            << std::get<Credentials>(credentials).users.verifiers.size() << " users\n";
   return exit_well;
 }
 
-// Reads a password from standard input, so that it stands in no list of processes and no history.
+/// Prints a line of a users' file. The password is read from standard input, so that it appears in no list of
+/// processes and in no shell history.
 int make_verifier(const std::string& user) {
   std::string password;
   std::getline(std::cin, password);
   if (password.empty()) return complain("wanted: a password, as one line on standard input");
-  std::string salt(16, '\0');
+  std::string salt(salt_bytes, '\0');
   RAND_bytes(reinterpret_cast<unsigned char*>(salt.data()), static_cast<int>(salt.size()));
   std::cout << user << " " << pg::Verifier::of_password(password, salt).text() << "\n";
   return exit_well;
 }
 
+void add_serve(CLI::App& app, int& result) {
+  static ServeOptions options;
+  auto* serve_command = app.add_subcommand("serve", "Run the workload manager until SIGTERM");
+  serve_command->add_option("-c,--config", options.config_path, "Its settings (XML, schema/manager.xsd)")
+      ->required();
+  serve_command->add_option("--port-file", options.port_file,
+                            "Write the port that it listens on to this file");
+  serve_command->add_flag("--keep-descriptor-limit", options.keep_descriptor_limit,
+                          "Don't raise the soft limit of descriptors");
+  serve_command->callback([&result] { result = serve(options); });
+}
+
+void add_check_config(CLI::App& app, int& result) {
+  static std::string path;
+  auto* command =
+      app.add_subcommand("check-config", "Read settings and all that they name; say what is wrong");
+  command->add_option("config", path, "The settings")->required();
+  command->callback([&result] { result = check_config(path); });
+}
+
+void add_make_verifier(CLI::App& app, int& result) {
+  static std::string user;
+  auto* command =
+      app.add_subcommand("make-verifier", "Turn a password on standard input into a users' file line");
+  command->add_option("user", user, "The user's name")->required();
+  command->callback([&result] { result = make_verifier(user); });
+}
+
 }  // namespace
 }  // namespace paddlestand::app
 
@@ -126,23 +185,9 @@
       "More: docs/operators/ in the sources.");
   int result = 0;
 
-  std::string config, port_file, user;
-  bool keep_limit = false;
-  auto* serve = app.add_subcommand("serve", "Run the workload manager until SIGTERM");
-  serve->add_option("-c,--config", config, "Its settings (XML, schema/manager.xsd)")->required();
-  serve->add_option("--port-file", port_file, "Write the port that it listens on to this file");
-  serve->add_flag("--keep-descriptor-limit", keep_limit, "Don't raise the soft limit of descriptors");
-  serve->callback([&] { result = app::serve(config, port_file, keep_limit); });
-
-  auto* check = app.add_subcommand("check-config", "Read settings and all that they name; say what is wrong");
-  check->add_option("config", config, "The settings")->required();
-  check->callback([&] { result = app::check_config(config); });
-
-  auto* verifier =
-      app.add_subcommand("make-verifier", "Turn a password on standard input into a users' file line");
-  verifier->add_option("user", user, "The user's name")->required();
-  verifier->callback([&] { result = app::make_verifier(user); });
-
+  app::add_serve(app, result);
+  app::add_check_config(app, result);
+  app::add_make_verifier(app, result);
   app::add_platform(app, result);
 #ifdef PADDLESTAND_TOOLS
   app::add_day(app, result);
--- a/apps/start.hpp
+++ b/apps/start.hpp
@@ -1,8 +1,9 @@
-/// Starting a host on a machine whose calls may fail for a moment.
+/// Starting a host on a machine whose system calls may fail for a moment.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/system/system_error.hpp>
+#include <cerrno>
 #include <chrono>
 #include <functional>
 #include <iostream>
@@ -15,36 +16,41 @@
 
 namespace paddlestand::app {
 
-/// How long a start is tried again for want of something that this machine may have again in a moment.
+/// How long a start is retried for want of memory, descriptors or the like, which may be there again in a
+/// moment.
 inline constexpr auto longest_start = std::chrono::seconds(20);
-/// The same where the address is in use or not there, which is more likely to last.
+/// The same where the address is in use or not available, which is more likely to last.
 inline constexpr auto longest_wait_for_address = std::chrono::seconds(3);
+/// Between two attempts.
 inline constexpr auto start_pause = std::chrono::milliseconds(20);
 
-/// Whether a start that failed so may be tried again after it has been tried for so long.
-inline bool may_start_again(int error_number, std::chrono::nanoseconds tried_for) {
+/// Whether a start that failed with this error may be retried, `elapsed` after the first attempt.
+[[nodiscard]] inline bool may_retry_start(int error_number, std::chrono::nanoseconds elapsed) {
   const auto verdict = core::verdict_of(core::SystemCall::bind, error_number);
   if (verdict != core::CallVerdict::retry_now && verdict != core::CallVerdict::retry_later) return false;
-  const bool address = error_number == EADDRINUSE || error_number == EADDRNOTAVAIL;
-  return tried_for < (address ? std::chrono::nanoseconds(longest_wait_for_address) : longest_start);
+  const bool is_address_error = error_number == EADDRINUSE || error_number == EADDRNOTAVAIL;
+  const std::chrono::nanoseconds limit = is_address_error ? longest_wait_for_address : longest_start;
+  return elapsed < limit;
 }
 
-/// Calls `start` until it does not throw an error that may pass. Rethrows the last.
+/// Calls `start` until it succeeds. Rethrows the first error that is not transient, or the last one in time.
 inline void start_with_retries(const std::function<void()>& start) {
-  const auto began = std::chrono::steady_clock::now();
+  const auto first_attempt = std::chrono::steady_clock::now();
+  const auto elapsed = [first_attempt] { return std::chrono::steady_clock::now() - first_attempt; };
   for (;;) {
     try {
-      return start();
+      start();
+      return;
     } catch (const boost::system::system_error& error) {
-      if (!may_start_again(error.code().value(), std::chrono::steady_clock::now() - began)) throw;
-    } catch (const std::system_error& error) {  // a thread can't be had
-      if (!may_start_again(ENOMEM, std::chrono::steady_clock::now() - began)) throw;
+      if (!may_retry_start(error.code().value(), elapsed())) throw;
+    } catch (const std::system_error&) {  // a thread could not be created
+      if (!may_retry_start(ENOMEM, elapsed())) throw;
     }
     std::this_thread::sleep_for(start_pause);
   }
 }
 
-/// A host with its loop, made anew for each try to start it.
+/// A host with its loop, made anew for each attempt to start it. The host is destroyed before the loop.
 template <typename Host>
 struct Hosted {
   std::unique_ptr<boost::asio::io_context> io;
@@ -56,9 +62,10 @@
   }
 };
 
-/// `make` gives a host on a loop. False, with a line on standard error, where it can't be started.
+/// Makes a host with `make`, which is given a loop, and starts it. False, with a line on standard error that
+/// names the `address`, where it can't be started.
 template <typename Host, typename Make>
-bool start_host(Hosted<Host>& hosted, const std::string& where, Make make) {
+[[nodiscard]] bool start_host(Hosted<Host>& hosted, const std::string& address, Make make) {
   try {
     start_with_retries([&] {
       hosted.reset();
@@ -68,7 +75,7 @@
     });
   } catch (const std::exception& error) {
     hosted.reset();
-    std::cerr << "paddlestand: can't listen on " << where << ": " << error.what() << "\n";
+    std::cerr << "paddlestand: can't listen on " << address << ": " << error.what() << "\n";
     return false;
   }
   return true;
--- a/src/service/asio_headers.hpp
+++ b/src/service/asio_headers.hpp
@@ -1,4 +1,4 @@
-// What is precompiled for all that uses Asio. No file relies on it: each includes what it uses.
+/// The precompiled headers of all code that uses Asio. No file relies on them: each includes what it uses.
 #pragma once
 
 #include <algorithm>
--- a/src/service/client_session.cpp
+++ b/src/service/client_session.cpp
@@ -1,7 +1,9 @@
 #include "client_session.hpp"
 
+#include <algorithm>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
+#include <utility>
 
 #include "protocol/pg/sqlstate.hpp"
 #include "spawn.hpp"
@@ -9,255 +11,281 @@
 namespace paddlestand::service {
 namespace asio = boost::asio;
 using boost::system::error_code;
-using std::chrono::steady_clock;
 
 namespace {
-// While a request is under way, so much of what was pipelined behind it is read ahead; its main use is to
-// hear of a client that is gone.
-constexpr std::size_t most_ahead = 64 * 1024;
-constexpr std::size_t keep_room = 64 * 1024;  // a larger buffer is given back once it is empty
+
+// Of what is pipelined behind a request in flight; reading ahead finds out that the client has closed.
+constexpr std::size_t max_read_ahead_bytes = 64 * 1024;
+constexpr std::size_t retained_buffer_bytes = 64 * 1024;  // a larger buffer is freed once it is empty
+
+void free_buffer(std::string& buffer) { std::string().swap(buffer); }
+
 }  // namespace
 
-ClientSession::ClientSession(PostgresServer& manager, tcp::socket socket, core::SessionId id,
+ClientSession::ClientSession(PostgresServer& server, tcp::socket socket, core::SessionId id,
                              pg::CancelKey key)
-    : manager_(manager),
+    : server_(server),
       socket_(std::move(socket)),
       id_(id),
       key_(key),
-      front_(manager.frontend_settings(), manager.users(), key, manager.nonce()),
-      since_(steady_clock::now()),
-      progress_(since_),
-      wake_(manager.io()) {
-  wake_.expires_at(steady_clock::time_point::max());
+      frontend_(server.frontend_settings(), server.users(), key, PostgresServer::make_nonce()),
+      opened_at_(Clock::now()),
+      last_write_progress_(opened_at_),
+      wakeup_(server.io()) {
+  wakeup_.expires_at(Clock::time_point::max());
 }
 
 void ClientSession::start() {
-  spawn_with(manager_.io(), [self = shared_from_this()] { return self->read(); });
+  spawn_with(server_.io(), [self = shared_from_this()] { return self->read_loop(); });
 }
 
+// ---- Closing ----
+
 void ClientSession::close() {
-  if (closed_) return;
-  closed_ = true;
+  if (state_ == State::closed) return;
+  state_ = State::closed;
   socket_.close();
-  wake_.cancel();
-  if (opened_) manager_.dispatch(core::SessionClosed{id_});
-  manager_.session_gone(id_);
+  wakeup_.cancel();
+  if (is_opened_) server_.dispatch(core::SessionClosed{id_});
+  server_.on_session_closed(id_);
+}
+
+void ClientSession::begin_closing() {
+  if (state_ == State::open) state_ = State::closing;
 }
 
-// What was said last is read by its client, whatever it has written meanwhile: only then is it closed.
-void ClientSession::say_goodbye() {
-  if (closed_) return;
-  manager_.linger(std::move(socket_));
+void ClientSession::close_gracefully() {
+  if (state_ == State::closed) return;
+  server_.close_gracefully(std::move(socket_));
   close();
 }
 
-asio::awaitable<void> ClientSession::rest_until_woken() {
+void ClientSession::begin_shutdown() {
+  is_server_shutting_down_ = true;
+  if (state_ != State::open || frontend_.busy()) return;
+  auto error = pg::error("57P01", "the workload manager is leaving", "repeat=harmless");
+  error.severity = "FATAL";
+  pg::put_error(output_, error);
+  begin_closing();
+  wakeup_.cancel();
+  flush();
+}
+
+bool ClientSession::check_connected() {
+  if (state_ == State::closed) return false;
+  char next{};
+  const IoStatus status = socket_.peek({&next, 1}).status;
+  if (status == IoStatus::end_of_input || status == IoStatus::ended) close();
+  return state_ != State::closed;
+}
+
+void ClientSession::sweep(Clock::time_point now) {
+  if (state_ == State::closed) return;
+  const auto& listen = server_.config().listen;
+  if (!frontend_.started() && now - opened_at_ > listen.login_time) {
+    server_.log().info("login", "session " + std::to_string(id_) + " closed: no login in time");
+    close();
+    return;
+  }
+  if (is_writing_ && now - last_write_progress_ > listen.write_stall) {
+    server_.log().info("stall", "session " + std::to_string(id_) + " closed: its client does not read");
+    close();
+  }
+}
+
+// ---- Reading ----
+
+asio::awaitable<void> ClientSession::wait_until_woken() {
   error_code woken;
-  co_await wake_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
-  if (!closed_ && !ending_) wake_.expires_at(steady_clock::time_point::max());
+  co_await wakeup_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
+  if (state_ == State::open) wakeup_.expires_at(Clock::time_point::max());
 }
 
-asio::awaitable<void> ClientSession::read() {
+bool ClientSession::is_read_ahead_full() const {
+  return (frontend_.busy() || is_output_full_) && frontend_.waiting() >= max_read_ahead_bytes;
+}
+
+asio::awaitable<void> ClientSession::read_loop() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
-  while (!closed_) {
-    if (ending_ || ((front_.busy() || crowded_) && front_.waiting() >= most_ahead)) {
-      co_await rest_until_woken();
-      if (ending_) co_return;
+  while (state_ != State::closed) {
+    if (state_ == State::closing || is_read_ahead_full()) {
+      co_await wait_until_woken();
+      if (state_ != State::open) co_return;
       continue;
     }
     co_await socket_.wait_to_receive(last);
-    if (closed_ || ending_) co_return;
-    last = read_some();
+    if (state_ != State::open) co_return;
+    last = receive_some();
   }
 }
 
-IoStatus ClientSession::read_some() {
-  const IoResult got = socket_.receive(manager_.scratch());
-  switch (got.status) {
+IoStatus ClientSession::receive_some() {
+  const IoResult received = socket_.receive(server_.scratch());
+  switch (received.status) {
     case IoStatus::progress:
-      front_.feed({manager_.scratch().data(), got.bytes});
-      pump();
+      frontend_.feed({server_.scratch().data(), received.bytes});
+      process_input();
       break;
     case IoStatus::end_of_input:
       // A client may shut down its sending side and still wait for its answers: PostgreSQL's clients don't,
-      // and a query nobody waits for must not hold an engine.
+      // and a query nobody waits for must not occupy an engine.
     case IoStatus::ended: close(); break;
     case IoStatus::would_block:
     case IoStatus::retry_later: break;
   }
-  return got.status;
+  return received.status;
 }
 
-// Takes what the front makes of the client's bytes, as far as it goes.
-void ClientSession::pump() {
-  if (pumping_) return;  // an answer came at once, while a request was handed over: the loop below goes on
-  pumping_ = true;
-  while (!closed_ && !ending_) {
-    // Who pipelines and does not read must not pile up answers beyond its window.
-    crowded_ = !has_room();
-    if (crowded_) break;
-    auto event = front_.next();
-    out_ += front_.out();
-    front_.out().clear();
+/// Handles what the client has sent, until its next message is incomplete, a request is in flight, or the
+/// client has too much to read.
+void ClientSession::process_input() {
+  if (is_processing_) return;  // called while a request is submitted: the loop below continues
+  is_processing_ = true;
+  while (state_ == State::open) {
+    // A client that pipelines and does not read must not pile up answers beyond its window.
+    is_output_full_ = !has_output_capacity();
+    if (is_output_full_) break;
+    auto event = frontend_.next();
+    queue_frontend_output();
     if (!event) break;
-    if (std::holds_alternative<pg::FrontendStarted>(*event)) {
-      opened_ = true;
-      manager_.dispatch(core::SessionOpened{id_});
-    } else if (const auto* cancel = std::get_if<pg::FrontendCancelRequest>(&*event)) {
-      manager_.cancel_session(cancel->key);
-      ending_ = true;
-    } else if (auto* request = std::get_if<pg::FrontendRequest>(&*event)) {
-      manager_.ask(shared_from_this(), std::move(*request));
-    } else {
-      ending_ = true;
-    }
+    handle(*event);
   }
-  pumping_ = false;
+  is_processing_ = false;
   flush();
-  pump_if_room();
+  resume_if_capacity();
 }
 
-bool ClientSession::has_room() const {
-  return out_.size() + writing_.size() - written_ <= manager_.config().core.client_window;
+void ClientSession::handle(pg::FrontendEvent& event) {
+  if (std::holds_alternative<pg::FrontendStarted>(event)) {
+    is_opened_ = true;
+    server_.dispatch(core::SessionOpened{id_});
+  } else if (const auto* cancel = std::get_if<pg::FrontendCancelRequest>(&event)) {
+    server_.cancel_session(cancel->key);
+    begin_closing();
+  } else if (auto* request = std::get_if<pg::FrontendRequest>(&event)) {
+    server_.submit_request(shared_from_this(), std::move(*request));
+  } else {
+    begin_closing();
+  }
 }
 
-void ClientSession::pump_if_room() {
-  if (!crowded_ || closed_ || !has_room()) return;
-  crowded_ = false;
-  wake_.cancel();
-  pump();
+void ClientSession::reject_request(const pg::Fields& error) {
+  frontend_.request_failed(error);
+  queue_frontend_output();
 }
 
+// ---- Answers ----
+
 void ClientSession::deliver(std::string& bytes, bool mid_message) {
   undelivered_bytes_ += bytes.size();
-  mid_message_ = mid_message;
-  if (out_.empty()) {
-    out_.swap(bytes);
+  is_mid_message_ = mid_message;
+  if (output_.empty()) {
+    output_.swap(bytes);
   } else {
-    out_ += bytes;
+    output_ += bytes;
   }
   bytes.clear();
-  // What ends the answer follows at once; one write for both.
-  if (out_.size() >= keep_room) flush();
+  // The end of a short answer follows at once: one write serves both.
+  if (output_.size() >= retained_buffer_bytes) flush();
 }
 
-void ClientSession::answered(const core::Answer& answer, const pg::BackendAnswerEnd* end) {
-  request_ = {};
-  if (closed_) return;
+void ClientSession::on_answer(const core::Answer& answer, const pg::BackendAnswerEnd* end) {
+  query_ = {};
+  if (state_ == State::closed) return;
   if (answer.kind == core::AnswerKind::served && end != nullptr) {
-    front_.request_done(*end);
-  } else if (mid_message_) {
-    // Its client is inside a message whose rest will never come: only an end of the connection can be told.
-    manager_.log().warn("cut", "session " + std::to_string(id_) + " closed inside a row");
-    return say_goodbye();
+    frontend_.request_done(*end);
+  } else if (is_mid_message_) {
+    // The remainder of the message will never come, and an error can't stand inside it.
+    server_.log().warn("cut", "session " + std::to_string(id_) + " closed inside a row");
+    close_gracefully();
+    return;
   } else {
-    front_.request_failed(pg::fields_of(answer));
+    frontend_.request_failed(pg::fields_of(answer));
   }
-  out_ += front_.out();
-  front_.out().clear();
-  wake_.cancel();
-  if (pumping_) return;  // the loop in pump() goes on
+  queue_frontend_output();
+  wakeup_.cancel();
+  if (is_processing_) return;  // the loop in process_input() continues
   flush();
-  pump();
-  if (leaving_) leave();
+  process_input();
+  if (is_server_shutting_down_) begin_shutdown();
 }
 
-bool ClientSession::still_there() {
-  if (closed_) return false;
-  char next{};
-  const IoStatus status = socket_.peek({&next, 1}).status;
-  if (status == IoStatus::end_of_input || status == IoStatus::ended) close();
-  return !closed_;
+// ---- Writing ----
+
+void ClientSession::queue_frontend_output() {
+  output_ += frontend_.out();
+  frontend_.out().clear();
 }
 
-void ClientSession::leave() {
-  leaving_ = true;
-  if (closed_ || ending_ || front_.busy()) return;
-  auto fields = pg::error("57P01", "the workload manager is leaving", "repeat=harmless");
-  fields.severity = "FATAL";
-  pg::put_error(out_, fields);
-  ending_ = true;
-  wake_.cancel();
-  flush();
+bool ClientSession::has_output_capacity() const {
+  return output_.size() + writing_.size() - written_ <= server_.config().core.client_window;
 }
 
-void ClientSession::refuse(const pg::Fields& error) {
-  front_.request_failed(error);
-  out_ += front_.out();
-  front_.out().clear();
+void ClientSession::resume_if_capacity() {
+  if (!is_output_full_ || state_ == State::closed || !has_output_capacity()) return;
+  is_output_full_ = false;
+  wakeup_.cancel();
+  process_input();
 }
 
-void ClientSession::took(std::size_t bytes) {
-  progress_ = steady_clock::now();
+void ClientSession::on_bytes_written(std::size_t bytes) {
+  last_write_progress_ = Clock::now();
   const std::size_t delivered = std::min(bytes, undelivered_bytes_);
   if (delivered == 0) return;
   undelivered_bytes_ -= delivered;
-  manager_.dispatch(core::ClientConsumed{id_, delivered});
+  server_.dispatch(core::ClientConsumed{id_, delivered});
 }
 
-// Writes what waits, until it can't now, or never again.
-IoStatus ClientSession::write_some() {
+/// Writes what is queued, until the socket takes no more or the connection has ended.
+IoStatus ClientSession::write_pending() {
   for (;;) {
     if (written_ == writing_.size()) {
       writing_.clear();
       written_ = 0;
-      if (out_.empty()) return IoStatus::progress;
-      writing_.swap(out_);
+      if (output_.empty()) return IoStatus::progress;
+      writing_.swap(output_);
     }
     const IoResult sent = socket_.send(std::string_view(writing_).substr(written_));
     if (sent.status == IoStatus::ended) close();
     if (sent.status != IoStatus::progress) return sent.status;
     written_ += sent.bytes;
-    took(sent.bytes);
-    if (closed_) return IoStatus::ended;
+    on_bytes_written(sent.bytes);
+    if (state_ == State::closed) return IoStatus::ended;
   }
 }
 
 void ClientSession::flush() {
-  if (closed_ || writes_) return;
-  writes_ = true;  // what is told of the bytes may bring more of them
-  const IoStatus status = write_some();
-  writes_ = false;
-  if (closed_) return;
+  if (state_ == State::closed || is_writing_) return;
+  is_writing_ = true;  // the core may deliver more while it is notified of bytes written
+  const IoStatus status = write_pending();
+  is_writing_ = false;
+  if (state_ == State::closed) return;
   if (status == IoStatus::progress) {
-    if (writing_.capacity() > keep_room) std::string().swap(writing_);
-    if (ending_) say_goodbye();
+    if (writing_.capacity() > retained_buffer_bytes) free_buffer(writing_);
+    if (state_ == State::closing) close_gracefully();
     return;
   }
-  progress_ = steady_clock::now();
-  writes_ = true;
-  spawn_with(manager_.io(), [self = shared_from_this()] { return self->write_on(); });
+  last_write_progress_ = Clock::now();
+  is_writing_ = true;
+  spawn_with(server_.io(), [self = shared_from_this()] { return self->write_remaining(); });
 }
 
-asio::awaitable<void> ClientSession::write_on() {
+asio::awaitable<void> ClientSession::write_remaining() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
-  while (!closed_ && last != IoStatus::progress) {
+  while (state_ != State::closed && last != IoStatus::progress) {
     co_await socket_.wait_to_send(last);
-    if (closed_) co_return;
-    last = write_some();
-    if (closed_) co_return;
-    pump_if_room();
+    if (state_ == State::closed) co_return;
+    last = write_pending();
+    if (state_ == State::closed) co_return;
+    resume_if_capacity();
   }
-  writes_ = false;
-  std::string().swap(writing_);
+  is_writing_ = false;
+  free_buffer(writing_);
   written_ = 0;
   flush();
-  pump_if_room();
-}
-
-void ClientSession::sweep(steady_clock::time_point now) {
-  if (closed_) return;
-  const auto& listen = manager_.config().listen;
-  if (!front_.started() && now - since_ > listen.login_time) {
-    manager_.log().info("login", "session " + std::to_string(id_) + " closed: no login in time");
-    return close();
-  }
-  if (writes_ && now - progress_ > listen.write_stall) {
-    manager_.log().info("stall", "session " + std::to_string(id_) + " closed: its client does not read");
-    close();
-  }
+  resume_if_capacity();
 }
 
 }  // namespace paddlestand::service
--- a/src/service/dispatcher_host.cpp
+++ b/src/service/dispatcher_host.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t scratch_bytes = 256 * 1024;
-constexpr Duration least_stall = std::chrono::milliseconds(10);  // less is any timer's own
-constexpr Duration after_stall = std::chrono::milliseconds(50);
+constexpr Duration min_stall = std::chrono::milliseconds(10);  // any timer may be late by less
+constexpr Duration stall_memory = std::chrono::milliseconds(50);
 
 TimePoint steady_now() { return steady_clock::now().time_since_epoch(); }
 
@@ -29,17 +29,17 @@
 void DispatcherHost::dispatch(core::CoreEvent event) {
   const bool first = !dispatcher_.is_dispatching();
   dispatcher_.dispatch(std::move(event), *this);
-  if (first) arm();  // once a turn: what is due in its middle may not be at its end
+  if (first) arm_timer();  // once a turn: what becomes due in its middle may not be due at its end
 }
 
 TimePoint DispatcherHost::now() { return steady_now(); }
 
 Duration DispatcherHost::event_loop_lag() {
   const TimePoint now = steady_now();
-  // What came during a stall is read in the turns right after it, before or after the timer's own.
-  const Duration before = now - stall_seen_ < after_stall ? stall_ : Duration{};
-  const Duration pending = armed_ ? now - *armed_ : Duration{};
-  return std::max({Duration{0}, before, pending});
+  // What arrived during a stall is read in the turns right after it, before or after the timer's own.
+  const Duration recent = now - last_stall_at_ < stall_memory ? last_stall_ : Duration{};
+  const Duration pending = armed_for_ ? now - *armed_for_ : Duration{};
+  return std::max({Duration{0}, recent, pending});
 }
 
 void DispatcherHost::count(core::Violation violation, const std::string& what) {
@@ -53,22 +53,25 @@
 
 void DispatcherHost::execute(const core::LogMessage& action) { log_.info("judgment", action.text); }
 
-void DispatcherHost::arm() {
+void DispatcherHost::arm_timer() {
   const auto due = dispatcher_.due();
-  if (!due || stopped_ || (armed_ && *armed_ <= *due)) return;
-  armed_ = due;
+  if (!due || stopped_ || (armed_for_ && *armed_for_ <= *due)) return;
+  armed_for_ = due;
   timer_.expires_at(steady_clock::time_point(std::chrono::duration_cast<steady_clock::duration>(*due)));
   timer_.async_wait([this](const error_code& error) {
-    if (error) return;
-    if (armed_ && steady_now() - *armed_ > least_stall) {
-      stall_seen_ = steady_now();
-      stall_ = stall_seen_ - *armed_;
-    }
-    armed_.reset();
-    dispatch(core::TimerExpired{});
+    if (!error) on_timer();
   });
 }
 
+void DispatcherHost::on_timer() {
+  if (armed_for_ && steady_now() - *armed_for_ > min_stall) {
+    last_stall_at_ = steady_now();
+    last_stall_ = last_stall_at_ - *armed_for_;
+  }
+  armed_for_.reset();
+  dispatch(core::TimerExpired{});
+}
+
 void DispatcherHost::stop() {
   stopped_ = true;
   dispatcher_.stop();
--- a/src/service/dispatcher_host.hpp
+++ b/src/service/dispatcher_host.hpp
@@ -1,11 +1,12 @@
-// What every host of the dispatcher on sockets shares: the loop, the clock, the one timer, the log. Which
-// protocols are spoken at either side is the deriving host's.
+/// What the hosts of the event dispatcher on sockets share: the loop, the clock, the one timer, the log. The
+/// protocols spoken on either side are the derived host's.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <optional>
 #include <span>
 #include <string>
 #include <vector>
@@ -18,23 +19,25 @@
 
 namespace paddlestand::service {
 
-// What it means for a channel that its connection did not come about.
+/// The reason for a channel's loss when its connection could not be made.
 core::ChannelLossReason loss_of(const ConnectFailure& failure);
 
+/// Runs the core's event dispatcher on an io_context. Used on the loop's thread alone.
 class DispatcherHost : protected core::HostInterface {
  public:
   DispatcherHost(const DispatcherHost&) = delete;
   DispatcherHost& operator=(const DispatcherHost&) = delete;
 
-  // Takes an event now, or right after the one that is being taken.
+  /// Dispatches an event now, or right after the one that is being dispatched.
   void dispatch(core::CoreEvent event);
 
+  /// The time on the core's clock, which is the steady clock.
   [[nodiscard]] TimePoint reading() { return now(); }
   [[nodiscard]] core::Counts counts() const { return dispatcher_.counts(); }
   [[nodiscard]] observe::Log& log() { return log_; }
   [[nodiscard]] const core::ViolationCounter& violations() const { return violations_; }
   [[nodiscard]] boost::asio::io_context& io() { return io_; }
-  // One buffer for all reads: nothing keeps a view into it over a suspension.
+  /// One buffer for all reads: no view into it may be held over a suspension.
   [[nodiscard]] std::span<char> scratch() { return scratch_; }
 
  protected:
@@ -47,10 +50,12 @@
   void on_violation(const core::InvariantViolation& violation) override;
   using core::HostInterface::execute;
 
+  /// Stops the loop and the dispatcher.
   void stop();
-  // By how much the loop is behind, as its own timer tells: what is read now may have come so much earlier.
+  /// By how much the loop lags behind, as seen by its own timer: what is read now may have arrived that much
+  /// earlier.
   [[nodiscard]] Duration event_loop_lag();
-  // Counts what must never happen, and logs the first of each kind.
+  /// Counts what must never happen, and logs the first of each kind.
   void count(core::Violation violation, const std::string& what);
 
   boost::asio::io_context& io_;
@@ -60,12 +65,14 @@
   bool stopped_ = false;
 
  private:
-  void arm();
+  /// Sets the timer to the dispatcher's next due time.
+  void arm_timer();
+  void on_timer();
 
   boost::asio::steady_timer timer_;
-  std::optional<TimePoint> armed_;
-  TimePoint stall_seen_{};  // when the timer was last late, and by how much
-  Duration stall_{};
+  std::optional<TimePoint> armed_for_;
+  TimePoint last_stall_at_{};  // when the timer was last late
+  Duration last_stall_{};  // and by how much
   core::ViolationCounter violations_;
   std::vector<char> scratch_;
 };
--- a/src/service/engine_channel.hpp
+++ b/src/service/engine_channel.hpp
@@ -1,60 +1,72 @@
-// A connection to an engine: connect, startup, one query after another.
+/// A connection to an engine that carries one query at a time: it connects, logs in, sends queries and reads
+/// their answers.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
+#include <string>
+#include <vector>
 
 #include "postgres_server.hpp"
 
 namespace paddlestand::service {
 
+/// Owned by the server's channels and by the coroutines that run for it; used on the loop's thread. `server`
+/// must outlive it.
 class EngineChannel : public std::enable_shared_from_this<EngineChannel> {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  EngineChannel(PostgresServer& manager, core::ChannelId id, tcp::endpoint at);
+  EngineChannel(PostgresServer& server, core::ChannelId id, tcp::endpoint endpoint);
 
+  /// Connects and logs in; the core is notified of the outcome (ChannelOpened, ChannelLost).
   void start();
+  /// Closes the connection. The core has dropped the channel: it is not notified of anything any more.
   void close();
-  // What is written only partly goes on by itself, and QuerySent is told in the turn of the last byte.
+  /// Writes a query. What the socket doesn't take now is written later, and QuerySent dispatched in the same
+  /// turn as the last byte.
   core::WriteResult send(std::string bytes);
-  void pause() { paused_ = true; }
+  /// Stops reading answers until resume(): the client's window is full.
+  void pause() { is_paused_ = true; }
   void resume();
 
   [[nodiscard]] pg::BackendConnection& protocol() { return protocol_; }
-  [[nodiscard]] tcp::endpoint at() const { return at_; }
-  // A change of terms names this channel's process, not its query: until it is known to have been made or
-  // dropped, it could strike the next query, so that none follows on this channel.
-  void terms_change_begins() { ++terms_changes_; }
-  void terms_change_ended() { --terms_changes_; }
-  // What is kept of an answer, told to the core so far.
-  void taken() { told_ = 0; }
+  [[nodiscard]] tcp::endpoint endpoint() const { return endpoint_; }
+  /// An update of the resource grant names this channel's backend, not its query: until the engine has
+  /// answered it, it could apply to the next query, so that none follows on this channel.
+  void on_grant_update_begun() { ++grant_updates_in_flight_; }
+  void on_grant_update_ended() { --grant_updates_in_flight_; }
+  /// The buffered part of the answer was delivered or discarded.
+  void on_answer_consumed() { reported_bytes_ = 0; }
 
  private:
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<bool> connect();
-  boost::asio::awaitable<void> write_on();
-  boost::asio::awaitable<void> write_reply(std::string bytes);
-  boost::asio::awaitable<void> rest_until_resumed();
-  IoStatus read_some(std::string& reply);
-  IoStatus write_some();
-  void lost(core::ChannelLossReason why);
-  void on_events(const std::vector<pg::BackendEvent>& events);
-
-  PostgresServer& manager_;
+  boost::asio::awaitable<void> write_remaining();
+  boost::asio::awaitable<void> write_login(std::string bytes);
+  boost::asio::awaitable<void> wait_until_resumed();
+  IoStatus receive_some(std::string& reply);
+  IoStatus write_pending();
+  void report_loss(core::ChannelLossReason reason);
+  void on_event(const pg::BackendEvent& event);
+  void on_answer_part(std::size_t new_bytes);
+  void on_answer_end(const pg::BackendAnswerEnd& end, std::size_t new_bytes);
+
+  PostgresServer& server_;
   core::ChannelId id_;
-  tcp::endpoint at_;
+  tcp::endpoint endpoint_;
   StreamSocket socket_;
   pg::BackendConnection protocol_;
   std::string writing_;
-  std::size_t written_ = 0;
-  std::size_t terms_changes_ = 0;  // on their way to the engine
-  std::size_t told_ = 0;  // bytes of the kept answer that the core knows of
-  bool closed_ = false, paused_ = false, writes_ = false;
-  TimePoint opened_;
-  boost::asio::steady_timer wake_;
+  std::size_t written_ = 0;  // of writing_
+  std::size_t grant_updates_in_flight_ = 0;
+  std::size_t reported_bytes_ = 0;  // of the buffered answer, that the core was notified of
+  bool is_closed_ = false;
+  bool is_paused_ = false;
+  TimePoint opened_at_;
+  boost::asio::steady_timer wakeup_;  // of the reader, while it is paused
 };
 
 }  // namespace paddlestand::service
--- a/src/service/listener.cpp
+++ b/src/service/listener.cpp
@@ -16,9 +16,10 @@
 
 namespace {
 
-constexpr int most_at_once = 256;  // connections taken in one turn of the loop
-constexpr Duration shortest_trouble_pause = 5ms, longest_trouble_pause = 50ms;
-constexpr auto longest_drain = 400ms;
+constexpr int max_accepts_per_turn = 256;  // then other work of the loop has its turn
+constexpr Duration min_backoff = 5ms;
+constexpr Duration max_backoff = 50ms;
+constexpr auto max_drain_time = 400ms;
 
 TimePoint steady_now() { return std::chrono::steady_clock::now().time_since_epoch(); }
 
@@ -28,8 +29,8 @@
                    Lateness event_loop_lag)
     : io_(io),
       on_connection_(std::move(on_connection)),
-      on_trouble_(std::move(on_trouble)),
-      lateness_(std::move(event_loop_lag)),
+      on_error_(std::move(on_trouble)),
+      event_loop_lag_(std::move(event_loop_lag)),
       acceptor_(io) {}
 
 void Listener::open(const tcp::endpoint& at) {
@@ -49,78 +50,87 @@
   }
 }
 
+/// Registers an accepted socket with the loop; false where that fails for a moment, and it is kept for later.
 bool Listener::hand_over(int socket) {
   tcp::socket connection(io_);
   error_code error;
   connection.assign(protocol_, socket, error);
   if (error) {
     unregistered_ = socket;
-    note_trouble(error);
+    note_error(error);
     return false;
   }
   unregistered_ = -1;
-  const Duration waited = in_trouble_since_ ? steady_now() - *in_trouble_since_ : Duration{};
+  const Duration waited = failing_since_ ? steady_now() - *failing_since_ : Duration{};
   on_connection_(std::move(connection), waited);
   return true;
 }
 
-void Listener::note_trouble(const error_code& error) {
-  if (in_trouble_since_) return;
-  // Behind a stall the first failure comes late itself: what is in the queue has waited since before it.
-  in_trouble_since_ = steady_now() - lateness_();
-  on_trouble_(error.message() + "; connections wait");
+void Listener::note_error(const error_code& error) {
+  if (failing_since_) return;
+  // After a stall of the loop the first failure is late itself: the queue has been waiting since before it.
+  failing_since_ = steady_now() - event_loop_lag_();
+  on_error_(error.message() + "; connections wait");
 }
 
-Listener::Turn Listener::accept_pending() {
-  int taken = 0;
-  while (taken < most_at_once && is_open()) {
-    if (unregistered_ >= 0 && !hand_over(unregistered_)) return {IoStatus::retry_later, taken};
+Listener::Batch Listener::accept_pending() {
+  int count = 0;
+  while (count < max_accepts_per_turn && is_open()) {
+    if (unregistered_ >= 0 && !hand_over(unregistered_)) return {IoStatus::retry_later, count};
     const Accepted accepted = service::accept(acceptor_.native_handle());
-    if (accepted.status != IoStatus::progress) {
-      if (accepted.status == IoStatus::would_block) {
-        in_trouble_since_.reset();
-      } else {
-        note_trouble(accepted.error);
-      }
-      return {accepted.status, taken};
+    if (accepted.status == IoStatus::progress) {
+      ++count;
+      hand_over(accepted.socket);
+      continue;
     }
-    ++taken;
-    hand_over(accepted.socket);
+    if (accepted.status == IoStatus::would_block) {
+      failing_since_.reset();
+    } else {
+      note_error(accepted.error);
+    }
+    return {accepted.status, count};
   }
-  return {IoStatus::progress, taken};
+  return {IoStatus::progress, count};
+}
+
+asio::awaitable<void> Listener::wait_until_pending(Duration pause_on_error) {
+  error_code error;
+  co_await acceptor_.async_wait(tcp::acceptor::wait_read, asio::redirect_error(asio::use_awaitable, error));
+  if (error && is_open()) co_await pause_for(io_, pause_on_error);
 }
 
 asio::awaitable<void> Listener::run() {
-  Duration pause = shortest_trouble_pause;
+  Duration backoff = min_backoff;
   while (is_open()) {
-    const auto [status, taken] = accept_pending();
+    const auto [status, accepted] = accept_pending();
     if (!is_open()) co_return;
-    if (taken > 0) pause = shortest_trouble_pause;
+    if (accepted > 0) backoff = min_backoff;
     if (status == IoStatus::would_block) {
-      error_code error;
-      co_await acceptor_.async_wait(tcp::acceptor::wait_read,
-                                    asio::redirect_error(asio::use_awaitable, error));
-      if (error && is_open()) co_await pause_for(io_, pause);
+      co_await wait_until_pending(backoff);
     } else if (status == IoStatus::progress) {
-      co_await pause_for(io_, Duration{0});  // the others have their turn
+      co_await pause_for(io_, Duration{0});  // other work of the loop has its turn
     } else {
-      co_await pause_for(io_, pause);
-      pause = std::min(2 * pause, longest_trouble_pause);
+      co_await pause_for(io_, backoff);
+      backoff = std::min(2 * backoff, max_backoff);
     }
   }
 }
 
 void Listener::close_when_drained() {
   if (!is_open()) return;
-  if (accept_pending().status == IoStatus::would_block) return close();
+  if (accept_pending().status == IoStatus::would_block) {
+    close();
+    return;
+  }
   spawn(io_, drain());
 }
 
 asio::awaitable<void> Listener::drain() {
-  const auto end = std::chrono::steady_clock::now() + longest_drain;
+  const auto end = std::chrono::steady_clock::now() + max_drain_time;
   while (is_open() && accept_pending().status != IoStatus::would_block &&
-         std::chrono::steady_clock::now() < end)
-    co_await pause_for(io_, shortest_trouble_pause);
+         std::chrono::steady_clock::now() < end) {
+    co_await pause_for(io_, min_backoff);
+  }
   close();
 }
 
--- a/src/service/postgres_server.hpp
+++ b/src/service/postgres_server.hpp
@@ -1,68 +1,80 @@
-// The workload manager as a service: one thread, one loop. It owns the sockets and the clock, tells the core
-// what happens and carries out what the core says. Nothing here decides what becomes of a query.
+/// The workload manager as a PostgreSQL server: one thread, one loop. It owns the sockets and the clock,
+/// dispatches what happens to the core as events, and executes the actions that the core decides on. Nothing
+/// here decides what becomes of a query.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <map>
 #include <memory>
 #include <string>
-#include <unordered_map>
+#include <vector>
 
 #include "config/manager_config.hpp"
 #include "core/classify.hpp"
 #include "dispatcher_host.hpp"
+#include "engine_channels.hpp"
+#include "engine_list_file.hpp"
+#include "graceful_closer.hpp"
 #include "listener.hpp"
 #include "protocol/pg/frontend_session.hpp"
+#include "reload_retry.hpp"
+#include "session_registry.hpp"
 
 namespace paddlestand::service {
 
-class ClientSession;
-class EngineChannel;
-
+/// Accepts clients' connections, holds their sessions and the channels to engines, and follows the engine
+/// list, reloads and signals. All of it runs on the loop's thread.
 class PostgresServer : public DispatcherHost {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  // `config_path` is read again at a reload.
+  /// `io` must outlive the server. `config_path` is read again at a reload.
   PostgresServer(boost::asio::io_context& io, config::ManagerConfig config, std::string config_path,
                  pg::Users users, std::string engine_password);
   ~PostgresServer() override;
   PostgresServer(const PostgresServer&) = delete;
   PostgresServer& operator=(const PostgresServer&) = delete;
 
-  // Listens, and begins. Throws boost::system::system_error where the address can't be had; may be called
-  // again then.
+  /// Listens, and begins to serve. Throws boost::system::system_error where the address can't be bound, and
+  /// may be called again then.
   void start();
+  /// The port that it listens on, once started.
   [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
 
+  /// Reads the settings again and adopts those that may change while it runs; a fault changes nothing.
   void reload();
-  void leave();
-  // Ends every connection, once the loop has ended.
+  /// Begins a graceful shutdown: accepts no more clients, answers the queries in flight, then stops the loop.
+  void begin_shutdown();
+  /// Closes every session, once the loop has ended.
   void close_connections();
 
   // ---- For sessions and channels ----
 
-  // As above, with what the engine said at the end of an answer, for the session that gets it.
-  void tell_end(const core::AnswerEnd& event, const pg::BackendAnswerEnd& end);
-  void ask(const std::shared_ptr<ClientSession>& session, pg::FrontendRequest request);
+  /// Dispatches the end of an answer, with what the engine said of it for the session that gets it.
+  void dispatch_answer_end(const core::AnswerEnd& event, const pg::BackendAnswerEnd& end);
+  /// Classifies a session's request and dispatches it; a request with faulty tags is rejected at once.
+  void submit_request(const std::shared_ptr<ClientSession>& session, pg::FrontendRequest request);
+  /// Cancels the query of the session that was given this key, if there is one.
   void cancel_session(pg::CancelKey key);
-  void session_gone(core::SessionId id);
-  // Ends a connection so that what was said last is read; over a bound of them, at once.
-  void linger(StreamSocket socket);
+  void on_session_closed(core::SessionId id) { sessions_.remove(id); }
+  /// Closes a client's connection once the client can have read what was written last.
+  void close_gracefully(StreamSocket socket) { closer_.close(std::move(socket)); }
 
   [[nodiscard]] const config::ManagerConfig& config() const { return config_; }
   [[nodiscard]] const pg::FrontendSettings& frontend_settings() const { return frontend_settings_; }
   [[nodiscard]] std::shared_ptr<const pg::Users> users() const { return users_; }
+  /// What a connection to an engine logs in with, its SCRAM nonce fresh.
   [[nodiscard]] pg::EngineLogin engine_login() const;
-  [[nodiscard]] std::string nonce();
+  /// A random nonce for one SCRAM exchange, in printable characters.
+  [[nodiscard]] static std::string make_nonce();
 
  private:
-  friend class EngineChannel;
+  /// `DispatcherHost::stopped_` is the state after these.
+  enum class State : std::uint8_t { serving, shutting_down };
 
   // The dispatcher's.
-  void on_event(const core::CoreEvent& event) override;
+  void on_event(const core::CoreEvent& event) override { answer_ends_.begin_event(event); }
   core::WriteResult send(const core::SendQuery& action) override;
   core::WriteResult send(const core::SendProbe& action) override;
   void execute(const core::OpenChannel& action) override;
@@ -75,21 +87,16 @@
   void execute(const core::ResumeChannel& action) override;
   void execute(const core::Answer& action) override;
   void execute(const core::ShutdownComplete& action) override;
-
   using DispatcherHost::execute;
-  void take(tcp::socket socket);
-  boost::asio::awaitable<void> watch_engines();
-  void reload_again_soon(const std::string& why);
-  boost::asio::awaitable<void> sweep();
+
+  void accept_connection(tcp::socket socket);
+  void reject_connection(tcp::socket socket);
+  boost::asio::awaitable<void> sweep_sessions();
+  boost::asio::awaitable<void> watch_engine_list();
   boost::asio::awaitable<void> watch_signals();
-  boost::asio::awaitable<void> linger_counted(StreamSocket socket);
-  // For a client that gets no session: says why, and closes.
-  boost::asio::awaitable<void> turn_away(StreamSocket socket, pg::Fields fields);
-  boost::asio::awaitable<void> cancel_on(tcp::endpoint at, pg::CancelKey key);
-  boost::asio::awaitable<void> change_terms(std::shared_ptr<EngineChannel> of, std::string statement);
+  void on_reload_fault(const std::string& fault);
+  void adopt_settings(const config::ManagerConfig& fresh);
   void use_engines(const std::vector<config::ListedEngine>& engines);
-  std::shared_ptr<EngineChannel> find_channel(core::ChannelId id) const;
-  std::shared_ptr<ClientSession> find_session(core::SessionId id) const;
 
   config::ManagerConfig config_;
   std::string config_path_;
@@ -99,20 +106,13 @@
   pg::FrontendSettings frontend_settings_;
 
   Listener listener_;
-
-  std::unordered_map<core::SessionId, std::shared_ptr<ClientSession>> sessions_;
-  std::unordered_map<core::QueryId, core::SessionId> queries_;
-  std::unordered_map<core::ChannelId, std::shared_ptr<EngineChannel>> channels_;
-  std::unordered_map<EngineId, tcp::endpoint> engines_;
-  core::SessionId last_session_ = 0;
-  core::QueryId last_query_ = 0;
-
-  std::unordered_map<core::ChannelId, pg::BackendAnswerEnd> ends_;  // of answers that wait to be taken
-  std::optional<pg::BackendAnswerEnd> current_end_;
-  std::size_t turned_away_ = 0;  // being told that there are too many sessions
-  std::size_t lingering_ = 0;  // connections without a session that wait for their client to close
-  int reload_tries_ = 0;  // that failed in a row
-  bool leaving_ = false;
+  SessionRegistry sessions_;
+  EngineChannels channels_;
+  AnswerEnds answer_ends_;
+  GracefulCloser closer_;
+  EngineListFile engine_list_;
+  ReloadRetry reload_retry_;
+  State state_ = State::serving;
 };
 
 }  // namespace paddlestand::service
--- a/src/service/signals.cpp
+++ b/src/service/signals.cpp
@@ -6,16 +6,18 @@
 namespace paddlestand::service {
 namespace {
 
-std::atomic<std::uint32_t> terminations{0}, interrupts{0}, reloads{0};
-static_assert(std::atomic<std::uint32_t>::is_always_lock_free, "a handler may touch nothing else");
+std::atomic<std::uint32_t> terminations{0};
+std::atomic<std::uint32_t> interrupts{0};
+std::atomic<std::uint32_t> reloads{0};
+static_assert(std::atomic<std::uint32_t>::is_always_lock_free, "a signal handler may use nothing else");
 
-void on_signal(int which) {
-  if (which == SIGHUP) {
+void on_signal(int signal) {
+  if (signal == SIGHUP) {
     reloads.fetch_add(1);
     return;
   }
   terminations.fetch_add(1);
-  if (which == SIGINT) interrupts.fetch_add(1);
+  if (signal == SIGINT) interrupts.fetch_add(1);
 }
 
 }  // namespace
@@ -25,16 +27,16 @@
   action.sa_handler = on_signal;
   action.sa_flags = SA_RESTART;
   sigemptyset(&action.sa_mask);
-  for (const int which : {SIGTERM, SIGINT, SIGHUP}) ::sigaction(which, &action, nullptr);
+  for (const int signal : {SIGTERM, SIGINT, SIGHUP}) ::sigaction(signal, &action, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 }
 
 PendingSignals::Taken PendingSignals::take() {
-  Taken taken;
-  taken.terminate = terminations.exchange(0) > 0;
-  taken.reload = reloads.exchange(0) > 0;
-  taken.interrupts = interrupts.load();
-  return taken;
+  Taken pending;
+  pending.terminate = terminations.exchange(0) > 0;
+  pending.reload = reloads.exchange(0) > 0;
+  pending.interrupts = interrupts.load();
+  return pending;
 }
 
 }  // namespace paddlestand::service
--- a/src/service/signals.hpp
+++ b/src/service/signals.hpp
@@ -1,5 +1,5 @@
-/// SIGTERM, SIGINT and SIGHUP, kept until the loop looks for them. The handler makes no call that could fail,
-/// and needs no descriptor: a signal is never lost, however often and however early it comes.
+/// SIGTERM, SIGINT and SIGHUP, recorded until the loop polls them. The handler makes no call that could fail
+/// and needs no descriptor: a signal is never lost, however often and however early it arrives.
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,15 @@
 
 class PendingSignals {
  public:
-  /// Takes the handlers of the process. SIGPIPE is ignored: a log that nobody reads must not end it.
+  /// Installs the process's handlers. SIGPIPE is ignored: a log that nobody reads must not end the process.
   static void install();
 
   struct Taken {
     bool terminate = false;  ///< SIGTERM or SIGINT
-    std::uint32_t interrupts = 0;  ///< SIGINT, since the start: a second one by hand means now
+    std::uint32_t interrupts = 0;  ///< SIGINT, since the start: a second Ctrl-C asks to stop at once
     bool reload = false;  ///< SIGHUP
   };
-  /// What came since it was last asked for. For one host in a process.
+  /// The signals since the last call. For one host in a process.
   static Taken take();
 };
 
--- a/src/service/socket_calls.cpp
+++ b/src/service/socket_calls.cpp
@@ -20,11 +20,13 @@
 
 namespace {
 
-constexpr int most_retries = 64;  // of one call in a row; then others get their turn first
+constexpr int max_repeats = 64;  // of one call in a row; then other work of the loop has its turn
 constexpr auto linger_time = 1s;
-constexpr Duration longest_connect_pause = 40ms;  // between two tries
-constexpr Duration connect_margin = 20ms;  // before the limit
-constexpr std::size_t most_lingering_bytes = 256 * 1024;
+constexpr Duration max_connect_backoff = 40ms;
+constexpr Duration connect_margin = 20ms;  // before the limit: no attempt begins that late
+constexpr int max_option_attempts = 8;
+constexpr Duration linger_poll_period = 20ms;
+constexpr std::size_t max_lingering_bytes = 256 * 1024;
 
 error_code last_error() { return {errno, boost::system::system_category()}; }
 
@@ -39,13 +41,13 @@
   return IoStatus::ended;
 }
 
-// Makes the call again while it is worthwhile at once. `call` returns what the system call returns.
+/// Repeats the call as long as its error asks for that. `call` returns what the system call returns.
 template <typename Call>
 IoResult repeat(SystemCall kind, Call call) {
   IoResult result;
-  for (int tries = 0; tries < most_retries; ++tries) {
-    const ssize_t done = call();
-    if (done >= 0) return {IoStatus::progress, static_cast<std::size_t>(done), {}};
+  for (int repeats = 0; repeats < max_repeats; ++repeats) {
+    const ssize_t returned = call();
+    if (returned >= 0) return {IoStatus::progress, static_cast<std::size_t>(returned), {}};
     result = {status_of(kind, errno), 0, last_error()};
     if (core::verdict_of(kind, result.error.value()) != CallVerdict::retry_now) return result;
   }
@@ -81,9 +83,8 @@
 }
 
 void set_no_delay(int socket) {
-  constexpr int tries = 8;
   const int on = 1;
-  for (int i = 0; i < tries; ++i)
+  for (int attempt = 0; attempt < max_option_attempts; ++attempt)
     if (::setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on)) == 0) return;
 }
 
@@ -129,18 +130,18 @@
 asio::awaitable<std::optional<ConnectFailure>> connect_before(
     StreamSocket& socket, asio::ip::tcp::endpoint to, TimePoint limit, std::function<bool()> given_up,
     std::function<void(const ConnectFailure&, bool again)> on_failure) {
-  for (Duration pause = shortage_pause;; pause = std::min(2 * pause, longest_connect_pause)) {
+  for (Duration backoff = shortage_pause;; backoff = std::min(2 * backoff, max_connect_backoff)) {
     const auto failure = co_await socket.connect(to);
     if (given_up()) {
       socket.close();
       co_return failure;
     }
     if (!failure) co_return std::nullopt;
-    const TimePoint next = std::chrono::steady_clock::now().time_since_epoch() + pause;
+    const TimePoint next = std::chrono::steady_clock::now().time_since_epoch() + backoff;
     const bool again = failure->verdict != CallVerdict::refused && next < limit - connect_margin;
     on_failure(*failure, again);
     if (!again) co_return failure;
-    co_await pause_for(socket.io(), pause);
+    co_await pause_for(socket.io(), backoff);
     if (given_up()) co_return failure;
   }
 }
@@ -162,9 +163,8 @@
 }
 
 void StreamSocket::reset() {
-  constexpr int tries = 8;
   const linger at_once{1, 0};
-  for (int i = 0; i < tries; ++i)
+  for (int attempt = 0; attempt < max_option_attempts; ++attempt)
     if (::setsockopt(socket_.native_handle(), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once)) == 0) break;
   close();
 }
@@ -185,27 +185,26 @@
   return wait(tcp::socket::wait_write, last);
 }
 
-asio::awaitable<void> StreamSocket::wait(tcp::socket::wait_type what, IoStatus last) {
+asio::awaitable<void> StreamSocket::wait(tcp::socket::wait_type readiness, IoStatus last) {
   error_code error;
   if (last != IoStatus::retry_later)
-    co_await socket_.async_wait(what, asio::redirect_error(asio::use_awaitable, error));
-  // A wait that can't be made is no news of the connection: the next call tells.
+    co_await socket_.async_wait(readiness, asio::redirect_error(asio::use_awaitable, error));
+  // That a wait fails says nothing of the connection: the next call finds out.
   const bool closed = error == asio::error::operation_aborted || !socket_.is_open();
   if (last == IoStatus::retry_later || (error && !closed)) co_await pause_for(io(), shortage_pause);
 }
 
 asio::awaitable<void> linger_and_close(StreamSocket socket) {
   const auto end = std::chrono::steady_clock::now() + linger_time;
-  std::array<char, 4096> dropped;
+  std::array<char, 4096> discarded;
   std::size_t bytes = 0;
   if (!socket.shut_down_sending()) co_return;
-  IoResult last{IoStatus::would_block, 0, {}};
-  while (std::chrono::steady_clock::now() < end && bytes < most_lingering_bytes) {
-    last = socket.receive(dropped);
+  while (std::chrono::steady_clock::now() < end && bytes < max_lingering_bytes) {
+    const IoResult last = socket.receive(discarded);
     if (last.status == IoStatus::end_of_input || last.status == IoStatus::ended) co_return;
     bytes += last.bytes;
     if (last.status == IoStatus::progress) continue;
-    co_await pause_for(socket.io(), 20ms);
+    co_await pause_for(socket.io(), linger_poll_period);
   }
 }
 
--- a/src/service/socket_calls.hpp
+++ b/src/service/socket_calls.hpp
@@ -1,5 +1,6 @@
-/// Calls on connected sockets and listeners, never blocking, their errors read by core::verdict_of alone. An
-/// interrupted call is made again here; what else fails is told to the caller by what it means.
+/// Non-blocking system calls on connected sockets and listeners. core::verdict_of alone decides what an error
+/// means: interrupted calls are repeated here, other failures are returned as what the caller can do about
+/// them.
 #pragma once
 
 #include <array>
@@ -15,6 +16,7 @@
 
 namespace paddlestand::service {
 
+/// What the caller can do after a call.
 enum class IoStatus : std::uint8_t {
   progress,  ///< `bytes` were transferred
   would_block,  ///< nothing now: wait until the socket is ready
@@ -23,41 +25,44 @@
   ended  ///< the connection is broken; `error` says how
 };
 
+/// The outcome of one call.
 struct IoResult {
   IoStatus status{};
   std::size_t bytes = 0;
   boost::system::error_code error;
 };
 
-/// Reads what is here, as far as it fits.
+/// Reads the bytes that have arrived, as far as they fit.
 IoResult receive(int socket, std::span<char> into);
-/// As receive(), and leaves it there.
+/// As receive(), but the bytes stay in the socket's buffer.
 IoResult peek(int socket, std::span<char> into);
 /// Writes what fits into the socket's buffer.
 IoResult send(int socket, std::string_view bytes);
-/// Ends this side of the connection; the other one may still write. False where the connection is gone.
+/// Shuts down the sending side; the peer may still write. False where the connection is broken.
 bool shut_down_sending(int socket);
-/// How much of what was written has not left this machine, since the peer does not read; zero where the
-/// system can't tell.
+/// The bytes written that have not left this machine, since the peer does not read; zero where the system
+/// can't tell.
 std::size_t unsent_bytes(int socket);
-/// Small writes leave at once. What fails for a moment is tried a few times; its loss costs only delay.
+/// Sets TCP_NODELAY: small writes are sent at once. Retried a few times; a failure costs only latency.
 void set_no_delay(int socket);
 
+/// The outcome of an accept().
 struct Accepted {
   int socket = -1;  ///< non-blocking, closed on exec; the caller's
   IoStatus status{};
   boost::system::error_code error;
 };
+/// Accepts one connection of a listening socket.
 Accepted accept(int listener);
 
-/// Why a connection did not come about; or nothing.
+/// Why a connection could not be made.
 struct ConnectFailure {
-  core::CallVerdict verdict{};  ///< retry_now and retry_later: this machine's trouble; refused: the peer's
+  core::CallVerdict verdict{};  ///< retry_now, retry_later: a transient fault here; refused: by the peer
   boost::system::error_code error;
 };
 
-/// A connected TCP socket whose calls may fail for a moment. Not thread-safe; the coroutines that wait on it
-/// must keep it alive.
+/// A connected TCP socket whose system calls may fail for a moment. Not thread-safe; the coroutines that wait
+/// on it must keep it alive.
 class StreamSocket {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -65,7 +70,7 @@
   explicit StreamSocket(boost::asio::io_context& io) : socket_(io) {}
   explicit StreamSocket(tcp::socket socket);
 
-  /// Connects, once. On a failure the socket is closed, and may be connected again.
+  /// Makes one attempt to connect. On a failure the socket is closed, and may be connected again.
   boost::asio::awaitable<std::optional<ConnectFailure>> connect(tcp::endpoint to);
 
   IoResult receive(std::span<char> into);
@@ -73,40 +78,42 @@
   IoResult send(std::string_view bytes);
   bool shut_down_sending();
   void close();
-  /// Ends the connection without waiting behind bytes that the peer does not read: they are dropped.
+  /// Resets the connection: bytes that the peer has not read are dropped.
   void reset();
   [[nodiscard]] std::size_t unsent_bytes();
   [[nodiscard]] bool is_open() const { return socket_.is_open(); }
   [[nodiscard]] boost::asio::io_context& io();
-  /// Whether nothing is here to be read; a look that failed is no such knowledge.
+  /// Whether certainly no bytes wait to be read: false where the check itself fails.
   [[nodiscard]] bool surely_empty();
 
-  /// Waits until another receive() or send() is worthwhile, after one with this status. Returns soon after a
+  /// Waits until another receive() or send() may succeed, after one with this status. Returns soon after a
   /// close.
   boost::asio::awaitable<void> wait_to_receive(IoStatus last);
   boost::asio::awaitable<void> wait_to_send(IoStatus last);
 
  private:
-  boost::asio::awaitable<void> wait(tcp::socket::wait_type what, IoStatus last);
+  boost::asio::awaitable<void> wait(tcp::socket::wait_type readiness, IoStatus last);
 
   tcp::socket socket_;
 };
 
-/// Connects, again after what fails on this machine for a moment, until shortly before `limit`, a reading of
-/// the steady clock at which the core gives the peer the blame. `given_up` ends it early: the socket is
-/// closed then, and the failure means nothing. `on_failure` hears of each, and whether it is tried again.
+/// Connects, and retries after a transient fault of this machine until shortly before `limit`, a time of the
+/// steady clock at which the core blames the peer. `given_up` ends it early: the socket is closed then, and
+/// the failure returned means nothing. `on_failure` is called after each failed attempt, with whether another
+/// follows.
 boost::asio::awaitable<std::optional<ConnectFailure>> connect_before(
     StreamSocket& socket, boost::asio::ip::tcp::endpoint to, TimePoint limit, std::function<bool()> given_up,
     std::function<void(const ConnectFailure&, bool again)> on_failure);
 
-/// For so long; errors of the timer shorten it.
+/// Waits for `time`; an error of the timer shortens it.
 boost::asio::awaitable<void> pause_for(boost::asio::io_context& io, Duration time);
 
-/// How long to wait before a call is made again that failed for want of something.
+/// The pause before a call is repeated that failed for want of memory, buffers or descriptors.
 inline constexpr Duration shortage_pause = std::chrono::milliseconds(5);
 
-/// Ends this side of a connection and reads what still comes until the peer ends its own, for a bounded time
-/// and a bounded number of bytes: a close over unread bytes would reset it, and what was said last with it.
+/// Shuts down the sending side and discards input until the peer closes its own, for a bounded time and a
+/// bounded number of bytes: a close over unread bytes would reset the connection and drop what was written
+/// last.
 boost::asio::awaitable<void> linger_and_close(StreamSocket socket);
 
 }  // namespace paddlestand::service
--- a/src/service/spawn.hpp
+++ b/src/service/spawn.hpp
@@ -1,5 +1,5 @@
-/// Coroutines that nobody waits for. An exception out of one ends the loop's run(), and is not lost: a
-/// manager that has lost track of its own state can keep no invariant about it.
+/// Detached coroutines. An exception out of one ends the loop's run() and is rethrown from it: a manager that
+/// has lost track of its own state can't keep its invariants.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,11 +14,12 @@
   if (error) std::rethrow_exception(error);
 };
 
+/// Runs `coroutine` on the loop; what it refers to must live until it has ended.
 inline void spawn(boost::asio::io_context& io, boost::asio::awaitable<void> coroutine) {
   boost::asio::co_spawn(io, std::move(coroutine), rethrow);
 }
 
-/// `start` gives the coroutine, and is kept, with what it holds, until the coroutine has ended.
+/// Runs the coroutine that `start` returns; `start` and what it captures live until the coroutine has ended.
 template <typename Start>
 void spawn_with(boost::asio::io_context& io, Start start) {
   boost::asio::co_spawn(io, std::move(start), rethrow);
--- a/src/service/users.cpp
+++ b/src/service/users.cpp
@@ -2,48 +2,72 @@
 
 #include <openssl/rand.h>
 
+#include <optional>
 #include <sstream>
+#include <string_view>
+#include <utility>
 
 #include "config/read_file.hpp"
 
 namespace paddlestand::service {
 namespace {
 
-constexpr std::size_t most_bytes = 16U << 20U;  // of a file of users or of a secret
+constexpr std::size_t max_file_bytes = 16U << 20U;
+constexpr std::size_t mock_secret_bytes = 32;
+
+std::string random_bytes(std::size_t count) {
+  std::string bytes(count, '\0');
+  RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()), static_cast<int>(count));
+  return bytes;
+}
+
+/// Adds the user of one line; what is wrong with it, if anything.
+std::optional<std::string> add_user(std::string_view line, pg::Users& users) {
+  const auto blank = line.find(' ');
+  const auto verifier = blank == line.npos ? std::nullopt : pg::Verifier::parse(line.substr(blank + 1));
+  if (!verifier) return "wanted: name, blank, SCRAM-SHA-256$rounds:salt$stored:server";
+  const std::string name(line.substr(0, blank));
+  if (!users.verifiers.emplace(name, *verifier).second) return "user '" + name + "' comes twice";
+  return std::nullopt;
+}
 
 }  // namespace
 
-std::string read_users(const config::ListenConfig& listen, pg::Users& users) {
+std::string CredentialsError::text() const {
+  return file + (line > 0 ? ":" + std::to_string(line) : "") + ": " + problem;
+}
+
+std::variant<pg::Users, CredentialsError> read_users(const config::ListenConfig& listen) {
+  pg::Users users;
   users.trust = !listen.scram;
-  users.mock_secret.assign(32, '\0');
-  RAND_bytes(reinterpret_cast<unsigned char*>(users.mock_secret.data()), 32);
-  if (!listen.scram) return {};
-  const auto text = config::read_file(listen.users_file, most_bytes);
-  if (std::holds_alternative<config::FileError>(text)) return listen.users_file + ": can't be read";
-  std::istringstream file(std::get<std::string>(text));
+  users.mock_secret = random_bytes(mock_secret_bytes);
+  if (!listen.scram) return users;
+
+  const auto text = config::read_file(listen.users_file, max_file_bytes);
+  if (std::holds_alternative<config::FileError>(text))
+    return CredentialsError{listen.users_file, 0, "can't be read"};
+  std::istringstream lines(std::get<std::string>(text));
   int number = 0;
-  for (std::string line; std::getline(file, line);) {
+  for (std::string line; std::getline(lines, line);) {
     ++number;
     if (line.empty() || line[0] == '#') continue;
-    const auto blank = line.find(' ');
-    const auto verifier =
-        blank == line.npos ? std::nullopt : pg::Verifier::parse(std::string_view(line).substr(blank + 1));
-    const std::string here = listen.users_file + ":" + std::to_string(number) + ": ";
-    if (!verifier) return here + "wanted: name, blank, SCRAM-SHA-256$rounds:salt$stored:server";
-    if (!users.verifiers.emplace(line.substr(0, blank), *verifier).second)
-      return here + "user '" + line.substr(0, blank) + "' comes twice";
+    if (auto problem = add_user(line, users))
+      return CredentialsError{listen.users_file, number, std::move(*problem)};
   }
-  if (users.verifiers.empty()) return listen.users_file + ": names no user; nobody could log in";
-  return {};
+  if (users.verifiers.empty())
+    return CredentialsError{listen.users_file, 0, "names no user; nobody could log in"};
+  return users;
 }
 
-std::string read_secret(const std::string& path, std::string& secret) {
-  if (path.empty()) return {};
-  const auto text = config::read_file(path, most_bytes);
-  if (std::holds_alternative<config::FileError>(text)) return path + ": can't be read";
-  std::istringstream file(std::get<std::string>(text));
-  if (!std::getline(file, secret) || secret.empty()) return path + ": wanted: a password as its first line";
-  return {};
+std::variant<std::string, CredentialsError> read_password(const std::string& path) {
+  std::string password;
+  if (path.empty()) return password;
+  const auto text = config::read_file(path, max_file_bytes);
+  if (std::holds_alternative<config::FileError>(text)) return CredentialsError{path, 0, "can't be read"};
+  std::istringstream lines(std::get<std::string>(text));
+  if (!std::getline(lines, password) || password.empty())
+    return CredentialsError{path, 0, "wanted: a password as its first line"};
+  return password;
 }
 
 }  // namespace paddlestand::service
--- a/src/service/users.hpp
+++ b/src/service/users.hpp
@@ -1,17 +1,29 @@
-// Files with secrets: the users that may log in, and the password that engines want.
+/// Files with secrets: the users that may log in, and the password that engines want.
 #pragma once
 
 #include <string>
+#include <variant>
 
 #include "config/manager_config.hpp"
 #include "protocol/pg/frontend_session.hpp"
 
 namespace paddlestand::service {
 
-// One user a line: name, blank, SCRAM-SHA-256 verifier; # begins a comment. What is wrong, or nothing.
-std::string read_users(const config::ListenConfig& listen, pg::Users& users);
+/// Why a file of users or of a password can't be used.
+struct CredentialsError {
+  std::string file;
+  int line = 0;  ///< 1 for the first; 0 where it is about the file as such
+  std::string problem;
 
-// The first line of the file; nothing where no file is named.
-std::string read_secret(const std::string& path, std::string& secret);
+  /// As file:line: problem, for standard error.
+  [[nodiscard]] std::string text() const;
+};
+
+/// Reads the users that may log in. One a line: name, blank, SCRAM-SHA-256 verifier; # begins a comment.
+/// Without SCRAM no file is read, and whoever connects is trusted.
+std::variant<pg::Users, CredentialsError> read_users(const config::ListenConfig& listen);
+
+/// Reads a password, the first line of the file; an empty one where no file is named.
+std::variant<std::string, CredentialsError> read_password(const std::string& path);
 
 }  // namespace paddlestand::service
--- a/tests/service/hard_cases_test.cpp
+++ b/tests/service/hard_cases_test.cpp
@@ -363,7 +363,7 @@
   busy.query("select 1 /*sim_work_ms='300'*/");
   ASSERT_TRUE(comes_true([&] { return manager.counts().attempts_out == 1; }));
   manager.run([](PostgresServer& m) {
-    m.leave();
+    m.begin_shutdown();
     return 0;
   });
   EXPECT_EQ(idle.answer(), "E");
