--- a/src/protocol/pg/backend_connection.cpp
+++ b/src/protocol/pg/backend_connection.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
+#include <utility>
 
 #include "bytes.hpp"
 #include "sqlstate.hpp"
@@ -10,15 +11,23 @@
 namespace paddlestand::pg {
 namespace {
 
-// Messages up to this size are held until they are whole; larger ones of an answer pass on as they come, so
-// that one of a gigabyte takes no memory. Those that are read here are never larger.
-constexpr std::size_t most_held = 64 * 1024;
-constexpr std::size_t header = 5;
-constexpr std::uint32_t most_length = 0x40000000;  // PostgreSQL's own bound: a gigabyte
+// Messages up to this size are buffered until they are complete. Larger ones of an answer are passed through
+// as they arrive, so that a row of a gigabyte takes no memory; those that are parsed here are never that
+// large.
+constexpr std::size_t max_buffered_message = 64 * 1024;
+constexpr std::size_t header_bytes = 5;  // type and length
+constexpr std::uint32_t length_bytes = 4;  // which the length counts
+constexpr std::uint32_t max_length = 0x40000000;  // PostgreSQL's own bound: a gigabyte
+constexpr double max_work_ms = 1e12;
+constexpr double nanoseconds_per_ms = 1e6;
+constexpr std::string_view engine_notice = "01P5T";  // the SQLSTATE of notices about the query in flight
 
-std::uint32_t announced(std::string_view message) { return Reader(message.substr(1)).u32(); }
+/// The length that a message announces, its header complete.
+std::uint32_t announced_length(std::string_view message) { return Reader(message.substr(1)).u32(); }
 
-std::optional<double> number(std::string_view text) {
+std::size_t message_size(std::uint32_t length) { return header_bytes - length_bytes + length; }
+
+std::optional<double> read_number(std::string_view text) {
   double value = 0;
   const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (problem != std::errc{} || end != text.data() + text.size() || !std::isfinite(value) || value < 0)
@@ -26,281 +35,341 @@
   return value;
 }
 
+std::optional<Duration> read_work(std::string_view text) {
+  const auto milliseconds = read_number(text);
+  if (!milliseconds || *milliseconds >= max_work_ms) return std::nullopt;
+  return Duration{std::llround(*milliseconds * nanoseconds_per_ms)};
+}
+
+/// As a string literal of SQL.
 std::string quoted(std::string_view value) {
-  std::string out = "'";
-  for (const char c : value) {
-    if (c == '\'') out.push_back('\'');
-    if (c != '\0') out.push_back(c);
+  std::string literal = "'";
+  for (const char character : value) {
+    if (character == '\'') literal.push_back('\'');
+    if (character != '\0') literal.push_back(character);
   }
-  out.push_back('\'');
-  return out;
+  literal.push_back('\'');
+  return literal;
 }
 
-}  // namespace
+/// The settings that give a query its priority and its memory.
+std::map<std::string, std::string> grant_settings(std::uint8_t priority, double memory_mb) {
+  std::map<std::string, std::string> settings;
+  settings["paddlestand.priority"] = std::to_string(priority);
+  if (memory_mb > 0) settings["work_mem"] = std::to_string(std::llround(std::ceil(memory_mb))) + "MB";
+  return settings;
+}
 
-std::map<std::string, std::string> terms(std::uint8_t priority, double memory_mb) {
-  std::map<std::string, std::string> out;
-  out["paddlestand.priority"] = std::to_string(priority);
-  if (memory_mb > 0) out["work_mem"] = std::to_string(std::llround(std::ceil(memory_mb))) + "MB";
-  return out;
+/// The bytes of the complete rows at the beginning.
+std::size_t leading_rows(std::string_view bytes) {
+  std::size_t rows = 0;
+  while (rows + header_bytes <= bytes.size() && bytes[rows] == backend_message::data_row) {
+    const std::size_t size = message_size(announced_length(bytes.substr(rows)));
+    if (size < header_bytes || size > bytes.size() - rows) break;
+    rows += size;
+  }
+  return rows;
 }
 
+}  // namespace
+
 std::string settings_change(const std::map<std::string, std::string>& has,
                             const std::map<std::string, std::string>& wants) {
-  std::string text;
+  std::string statements;
   for (const auto& [name, value] : has)
-    if (!wants.contains(name)) text += "RESET " + name + ";";
+    if (!wants.contains(name)) statements += "RESET " + name + ";";
   for (const auto& [name, value] : wants) {
     const auto found = has.find(name);
-    if (found == has.end() || found->second != value) text += "SET " + name + "=" + quoted(value) + ";";
+    if (found == has.end() || found->second != value) statements += "SET " + name + "=" + quoted(value) + ";";
   }
-  return text;
+  return statements;
 }
 
+// ---- To the engine ----
+
 std::string BackendConnection::start(EngineLogin login) {
   login_ = std::move(login);
-  std::string out;
+  std::string bytes;
   const std::vector<std::pair<std::string, std::string>> parameters{
       {"user", login_.user}, {"database", login_.database}, {"application_name", login_.application}};
-  put_startup(out, parameters);
-  return out;
+  put_startup(bytes, parameters);
+  return bytes;
 }
 
 std::string BackendConnection::flight(const EngineQuery& query, std::uint8_t priority, double memory_mb) {
-  auto wants = terms(priority, memory_mb);
-  for (const auto& [name, value] : query.settings) wants.emplace(name, value);
-  const std::string change = settings_change(set_, wants);
-  std::string out;
+  auto wanted = grant_settings(priority, memory_mb);
+  for (const auto& [name, value] : query.settings) wanted.emplace(name, value);
+  const std::string change = settings_change(settings_, wanted);
+  std::string bytes;
   if (!change.empty()) {
-    out.reserve(change.size() + query.bytes.size() + 8);
-    put_query(out, change);
-    set_ = std::move(wants);
+    bytes.reserve(change.size() + query.bytes.size() + header_bytes + 1);
+    put_query(bytes, change);
+    settings_ = std::move(wanted);
   }
-  out += query.bytes;
-  state_ = change.empty() ? State::answering : State::prefix;
+  bytes += query.bytes;
+  begin_answer(change.empty() ? State::answering : State::setting);
   parse_shown_ = query.parse_shown;
-  parses_ = 0;
-  rows_ = false;
-  end_ = {};
-  return out;
+  return bytes;
 }
 
 std::string BackendConnection::probe() {
-  std::string out;
-  put_query(out, "");
-  state_ = State::answering;
+  std::string bytes;
+  put_query(bytes, "");
+  begin_answer(State::answering);
+  return bytes;
+}
+
+void BackendConnection::begin_answer(State state) {
+  state_ = state;
   parse_shown_.clear();
-  parses_ = 0;
-  rows_ = false;
+  parses_completed_ = 0;
+  has_rows_ = false;
   end_ = {};
-  return out;
 }
 
-void BackendConnection::break_off(std::string what, std::vector<BackendEvent>& events) {
+// ---- From the engine ----
+
+void BackendConnection::break_off(std::string reason, Events& events) {
   if (state_ == State::broken) return;
   state_ = State::broken;
   buffer_.clear();
-  events.emplace_back(BackendBroken{std::move(what)});
+  events.emplace_back(BackendBroken{std::move(reason)});
 }
 
-void BackendConnection::feed(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply) {
-  const std::size_t before = answer_.size(), told = events.size();
-  // A message whose beginning came before is made whole first; what follows it is read where it lies.
+void BackendConnection::feed(std::string_view bytes, Events& events, std::string& reply) {
+  const std::size_t answer_before = answer_.size();
+  const std::size_t events_before = events.size();
+  // A message that began earlier is completed first; those behind it are read without copying them.
   while (!buffer_.empty() && !bytes.empty() && state_ != State::broken) {
-    const std::size_t wanted = buffer_.size() < header ? header : header - 4 + announced(buffer_);
+    const std::size_t wanted =
+        buffer_.size() < header_bytes ? header_bytes : message_size(announced_length(buffer_));
     const std::size_t part = std::min(wanted - buffer_.size(), bytes.size());
     buffer_.append(bytes.substr(0, part));
     bytes.remove_prefix(part);
-    std::string whole;
-    whole.swap(buffer_);
-    cut(whole, events, reply);
+    std::string message;
+    message.swap(buffer_);
+    split(message, events, reply);
   }
-  if (state_ != State::broken && !bytes.empty()) cut(bytes, events, reply);
+  if (state_ != State::broken && !bytes.empty()) split(bytes, events, reply);
   if (state_ == State::broken) return;
-  const bool ended = std::any_of(events.begin() + static_cast<std::ptrdiff_t>(told), events.end(),
-                                 [](const auto& e) { return std::holds_alternative<BackendAnswerEnd>(e); });
-  if (!ended && answer_.size() > before) events.emplace_back(BackendAnswerPart{});
+  const bool has_ended =
+      std::any_of(events.begin() + static_cast<std::ptrdiff_t>(events_before), events.end(),
+                  [](const BackendEvent& event) { return std::holds_alternative<BackendAnswerEnd>(event); });
+  if (!has_ended && answer_.size() > answer_before) events.emplace_back(BackendAnswerPart{});
 }
 
-// Handles what is whole, and keeps the rest.
-void BackendConnection::cut(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply) {
+/// Handles the complete messages, and buffers what follows them.
+void BackendConnection::split(std::string_view bytes, Events& events, std::string& reply) {
   while (!bytes.empty() && state_ != State::broken) {
-    if (pass_left_ > 0) {
-      const std::size_t part = std::min(pass_left_, bytes.size());
-      answer_.append(bytes.substr(0, part));
-      pass_left_ -= part;
-      bytes.remove_prefix(part);
-      continue;
-    }
-    // Rows are by far the most of what comes: a run of them goes on in one piece.
-    std::size_t run = 0;
-    while (state_ == State::answering && run + header <= bytes.size() && bytes[run] == 'D') {
-      const std::size_t whole = header - 4 + announced(bytes.substr(run));
-      if (whole < header || whole > bytes.size() - run) break;
-      run += whole;
-    }
-    if (run > 0) {
-      rows_ = true;
-      answer_.append(bytes.substr(0, run));
-      bytes.remove_prefix(run);
-      continue;
-    }
-    if (bytes.size() < header) break;
+    if (pass_through(bytes)) continue;
+    if (bytes.size() < header_bytes) break;
     const char type = bytes[0];
-    const std::uint32_t length = announced(bytes);
-    if (length < 4 || length > most_length)
-      return break_off("impossible length " + std::to_string(length), events);
-    const std::size_t whole = header - 4 + length;
-    if (whole > most_held && bytes.size() < whole) {
-      if (state_ != State::answering || (type != 'D' && type != 'T' && type != 'd'))
-        return break_off("message of " + std::to_string(length) + " bytes where none so large belongs",
-                         events);
-      rows_ = true;
-      pass_left_ = whole;
-      continue;
+    const std::uint32_t length = announced_length(bytes);
+    if (length < length_bytes || length > max_length) {
+      break_off("impossible length " + std::to_string(length), events);
+      return;
     }
-    if (bytes.size() < whole) break;
-    on_message(type, bytes.substr(header, whole - header), events, reply);
-    bytes.remove_prefix(whole);
+    const std::size_t size = message_size(length);
+    if (bytes.size() < size && size > max_buffered_message) {
+      if (begin_pass_through(type, size)) continue;
+      break_off("message of " + std::to_string(length) + " bytes where none so large belongs", events);
+      return;
+    }
+    if (bytes.size() < size) break;
+    on_message(type, bytes.substr(header_bytes, size - header_bytes), events, reply);
+    bytes.remove_prefix(size);
   }
   if (state_ != State::broken) buffer_.assign(bytes);
 }
 
-void BackendConnection::on_message(char type, std::string_view body, std::vector<BackendEvent>& events,
-                                   std::string& reply) {
+/// Moves the beginning of `bytes` to the answer if it needs no parsing: part of a large message, or rows,
+/// which are by far the most of what arrives. False where there is none.
+bool BackendConnection::pass_through(std::string_view& bytes) {
+  std::size_t count = 0;
+  if (pass_through_bytes_ > 0) {
+    count = std::min(pass_through_bytes_, bytes.size());
+    pass_through_bytes_ -= count;
+  } else if (state_ == State::answering) {
+    count = leading_rows(bytes);
+    if (count > 0) has_rows_ = true;
+  }
+  answer_.append(bytes.substr(0, count));
+  bytes.remove_prefix(count);
+  return count > 0;
+}
+
+/// Begins to pass through a message too large to be buffered; false where it can't be part of an answer.
+bool BackendConnection::begin_pass_through(char type, std::size_t message_bytes) {
+  const bool may_be_large = type == backend_message::data_row || type == backend_message::row_description ||
+                            type == backend_message::copy_data;
+  if (state_ != State::answering || !may_be_large) return false;
+  has_rows_ = true;
+  pass_through_bytes_ = message_bytes;
+  return true;
+}
+
+void BackendConnection::on_message(char type, std::string_view body, Events& events, std::string& reply) {
   switch (state_) {
-    case State::starting: return on_startup(type, body, events, reply);
-    case State::answering: return on_answer(type, body, events);
-    case State::prefix:
-      // Terms that an engine does not know are its affair: the query runs without them.
-      if (type == 'Z') state_ = State::answering;
-      if (type == 'S') on_parameter(body);
-      return;
-    case State::idle:
-      if (type == 'S') return void(on_parameter(body));
-      if (type == 'N' || type == 'A') return;
-      if (type == 'E') return;  // said before it closes
-      return break_off(std::string("message '") + type + "' on an idle link", events);
-    case State::broken: return;
+    case State::starting: on_startup(type, body, events, reply); break;
+    case State::idle: on_idle(type, body, events); break;
+    case State::setting: on_setting_answer(type, body); break;
+    case State::answering: on_answer(type, body, events); break;
+    case State::broken: break;
   }
 }
 
-void BackendConnection::on_startup(char type, std::string_view body, std::vector<BackendEvent>& events,
-                                   std::string& reply) {
-  Reader in(body);
+void BackendConnection::on_idle(char type, std::string_view body, Events& events) {
   switch (type) {
-    case 'R': {
-      const std::uint32_t code = in.u32();
-      if (code == 0) return;
-      if (code == 10 && !login_.password.empty() && body.find("SCRAM-SHA-256") != body.npos) {
-        scram_.emplace(login_.password, login_.nonce);
-        put_sasl_first(reply, "SCRAM-SHA-256", scram_->first());
-        return;
-      }
-      if (code == 11 && scram_) {
-        if (const auto last = scram_->last(in.rest())) {
-          put_password(reply, *last);
-          return;
-        }
-      }
-      if (code == 12 && scram_ && scram_->verify(in.rest())) return;
-      return break_off("authentication " + std::to_string(code) + " is not carried, or failed", events);
-    }
-    case 'K':
-      key_ = {in.u32(), in.u32()};
-      if (!in.done()) break_off("BackendKeyData of a wrong length", events);
+    case backend_message::parameter_status: on_parameter_status(body); break;
+    case backend_message::notice_response:
+    case backend_message::notification_response: break;
+    case backend_message::error_response: break;  // said before the engine closes
+    default: break_off(std::string("message '") + type + "' on an idle link", events);
+  }
+}
+
+/// An engine that rejects a setting does without it: the query runs all the same.
+void BackendConnection::on_setting_answer(char type, std::string_view body) {
+  if (type == backend_message::ready_for_query) state_ = State::answering;
+  if (type == backend_message::parameter_status) on_parameter_status(body);
+}
+
+// ---- Login ----
+
+void BackendConnection::on_startup(char type, std::string_view body, Events& events, std::string& reply) {
+  switch (type) {
+    case backend_message::authentication: on_authentication(body, events, reply); return;
+    case backend_message::backend_key_data: {
+      Reader reader(body);
+      key_ = {reader.u32(), reader.u32()};
+      if (!reader.done()) break_off("BackendKeyData of a wrong length", events);
       return;
-    case 'S': on_parameter(body); return;
-    case 'N': return;
-    case 'E': {
+    }
+    case backend_message::parameter_status: on_parameter_status(body); return;
+    case backend_message::notice_response: return;
+    case backend_message::error_response: {
       const auto fields = parse_fields(body);
-      if (!fields) return break_off("malformed ErrorResponse", events);
+      if (!fields) {
+        break_off("malformed ErrorResponse", events);
+        return;
+      }
       events.emplace_back(BackendRefused{startup_says_full(fields->code), *fields});
       state_ = State::broken;
       return;
     }
-    case 'Z':
+    case backend_message::ready_for_query:
       state_ = State::idle;
       events.emplace_back(BackendReady{});
       return;
-    default: return break_off(std::string("message '") + type + "' during startup", events);
+    default: break_off(std::string("message '") + type + "' during startup", events);
   }
 }
 
-void BackendConnection::on_answer(char type, std::string_view body, std::vector<BackendEvent>& events) {
-  switch (type) {
-    case 'T':
-    case 't':
-    case 'n':
-    case 'D':
-    case 'C':
-    case 'I':
-    case 's':
-    case '2':
-    case '3':
-      rows_ |= type == 'T' || type == 'D';
-      put_raw(answer_, type, body);
-      return;
-    case '1': {
-      const bool shown = parses_ < parse_shown_.size() && parse_shown_[parses_];
-      if (parses_ >= parse_shown_.size()) return break_off("ParseComplete that no Parse asked for", events);
-      ++parses_;
-      if (!shown) return;
-      ++end_.parses_shown;
-      put_raw(answer_, type, body);
+void BackendConnection::on_authentication(std::string_view body, Events& events, std::string& reply) {
+  Reader reader(body);
+  const std::uint32_t code = reader.u32();
+  if (code == authentication::ok) return;
+  if (code == authentication::sasl && !login_.password.empty() && body.find(scram_mechanism) != body.npos) {
+    scram_.emplace(login_.password, login_.nonce);
+    put_sasl_first(reply, scram_mechanism, scram_->first());
+    return;
+  }
+  if (code == authentication::sasl_continue && scram_) {
+    if (const auto client_final = scram_->last(reader.remaining_bytes())) {
+      put_password(reply, *client_final);
       return;
     }
-    case 'E': {
-      const auto fields = parse_fields(body);
-      if (!fields) return break_off("malformed ErrorResponse", events);
-      end_.ending = ending_of_error(fields->code, rows_);
-      end_.error_code = fields->code;
+  }
+  if (code == authentication::sasl_final && scram_ && scram_->verify(reader.remaining_bytes())) return;
+  break_off("authentication " + std::to_string(code) + " is not carried, or failed", events);
+}
+
+// ---- Answers ----
+
+void BackendConnection::on_answer(char type, std::string_view body, Events& events) {
+  switch (type) {
+    case backend_message::row_description:
+    case backend_message::data_row:
+      has_rows_ = true;
       put_raw(answer_, type, body);
-      return;
-    }
-    case 'N':
-      if (!on_notice(body, events)) put_raw(answer_, type, body);
-      return;
-    case 'S':
-      if (!on_parameter(body)) return;
-      return;
-    case 'A': return;  // notifications: LISTEN is not carried
-    case 'Z': {
-      if (body.size() != 1) return break_off("ReadyForQuery of a wrong length", events);
-      end_.reusable = body[0] == 'I';
-      state_ = State::idle;
-      events.emplace_back(std::move(end_));
-      end_ = {};
-      return;
-    }
-    default: return break_off(std::string("message '") + type + "' in an answer", events);
+      break;
+    case backend_message::parameter_description:
+    case backend_message::no_data:
+    case backend_message::command_complete:
+    case backend_message::empty_query_response:
+    case backend_message::portal_suspended:
+    case backend_message::bind_complete:
+    case backend_message::close_complete: put_raw(answer_, type, body); break;
+    case backend_message::parse_complete: on_parse_complete(body, events); break;
+    case backend_message::error_response: on_error(body, events); break;
+    case backend_message::notice_response:
+      if (!on_engine_notice(body, events)) put_raw(answer_, type, body);
+      break;
+    case backend_message::parameter_status: on_parameter_status(body); break;
+    case backend_message::notification_response: break;  // LISTEN is not supported
+    case backend_message::ready_for_query: on_ready(body, events); break;
+    default: break_off(std::string("message '") + type + "' in an answer", events);
   }
 }
 
-// Whether it was one of ours: load, and what the query needed.
-bool BackendConnection::on_parameter(std::string_view body) {
-  Reader in(body);
-  const std::string_view name = in.text(), value = in.text();
-  if (in.bad()) return false;
+void BackendConnection::on_parse_complete(std::string_view body, Events& events) {
+  if (parses_completed_ >= parse_shown_.size()) {
+    break_off("ParseComplete that no Parse asked for", events);
+    return;
+  }
+  const bool is_shown = parse_shown_[parses_completed_];
+  ++parses_completed_;
+  if (!is_shown) return;
+  ++end_.parses_shown;
+  put_raw(answer_, backend_message::parse_complete, body);
+}
+
+void BackendConnection::on_error(std::string_view body, Events& events) {
+  const auto fields = parse_fields(body);
+  if (!fields) {
+    break_off("malformed ErrorResponse", events);
+    return;
+  }
+  end_.ending = ending_of_error(fields->code, has_rows_);
+  end_.error_code = fields->code;
+  put_raw(answer_, backend_message::error_response, body);
+}
+
+void BackendConnection::on_ready(std::string_view body, Events& events) {
+  if (body.size() != 1) {
+    break_off("ReadyForQuery of a wrong length", events);
+    return;
+  }
+  end_.reusable = body[0] == transaction_idle;
+  state_ = State::idle;
+  events.emplace_back(std::move(end_));
+  end_ = {};
+}
+
+/// Reads the parameters by which an engine reports its load and what the query needed. Others are not for the
+/// client: the manager answers for all parameters of its session.
+void BackendConnection::on_parameter_status(std::string_view body) {
+  Reader reader(body);
+  const std::string_view name = reader.text();
+  const std::string_view value = reader.text();
+  if (reader.bad()) return;
   if (name == "paddlestand.inflight") {
-    end_.report.queries = number(value);
+    end_.report.queries = read_number(value);
   } else if (name == "paddlestand.work_ms") {
-    if (const auto ms = number(value); ms && *ms < 1e12) end_.work = Duration{std::llround(*ms * 1e6)};
+    if (const auto work = read_work(value)) end_.work = work;
   } else if (name == "paddlestand.memory_mb") {
-    end_.memory_mb = number(value);
-  } else {
-    return false;
+    end_.memory_mb = read_number(value);
   }
-  return true;
 }
 
-bool BackendConnection::on_notice(std::string_view body, std::vector<BackendEvent>& events) {
+/// Whether the notice was about the query in flight, and not for the client.
+bool BackendConnection::on_engine_notice(std::string_view body, Events& events) {
   const auto fields = parse_fields(body);
-  if (!fields || fields->code != "01P5T") return false;
+  if (!fields || fields->code != engine_notice) return false;
   constexpr std::string_view progress = "progress=";
   const std::string_view text = fields->message;
   if (text.starts_with(progress)) {
-    if (const auto level = number(text.substr(progress.size())))
+    if (const auto level = read_number(text.substr(progress.size())))
       events.emplace_back(BackendProgress{ProgressKind::progress, *level});
   } else if (text == "spilling") {
     events.emplace_back(BackendProgress{ProgressKind::spilling, 1});
--- a/src/protocol/pg/bytes.hpp
+++ b/src/protocol/pg/bytes.hpp
@@ -1,5 +1,6 @@
-// Big-endian integers and zero-ended strings of PostgreSQL's protocol 3.0, read with every length checked and
-// written with lengths filled in behind.
+/// The data types of PostgreSQL's protocol 3.0 (chapter 55.6 of its manual): big-endian integers and
+/// zero-terminated strings, read with every length checked, and written with messages' lengths filled in at
+/// their end.
 #pragma once
 
 #include <cstdint>
@@ -10,42 +11,46 @@
 
 namespace paddlestand::pg {
 
+/// Reads one value after another. A read past the end sets bad(): from then on all reads return zeros and
+/// empty strings. The views returned point into the bytes given.
 class Reader {
  public:
-  explicit Reader(std::string_view bytes) : left_(bytes) {}
+  explicit Reader(std::string_view bytes) : remaining_(bytes) {}
 
-  // Each of these fails by setting bad(), and then gives zeros and empty strings.
   std::uint8_t u8() { return static_cast<std::uint8_t>(number(1)); }
   std::uint16_t u16() { return static_cast<std::uint16_t>(number(2)); }
   std::uint32_t u32() { return number(4); }
   std::int32_t i32() { return static_cast<std::int32_t>(number(4)); }
 
   std::string_view bytes(std::size_t count) {
-    if (count > left_.size()) return fail();
-    const std::string_view part = left_.substr(0, count);
-    left_.remove_prefix(count);
+    if (count > remaining_.size()) return fail();
+    const std::string_view part = remaining_.substr(0, count);
+    remaining_.remove_prefix(count);
     return part;
   }
-  std::string_view text() {  // up to its zero, which is taken too
-    const std::size_t end = left_.find('\0');
+  /// A string without its terminating zero.
+  std::string_view text() {
+    const std::size_t end = remaining_.find('\0');
     if (end == std::string_view::npos) return fail();
-    const std::string_view part = left_.substr(0, end);
-    left_.remove_prefix(end + 1);
+    const std::string_view part = remaining_.substr(0, end);
+    remaining_.remove_prefix(end + 1);
     return part;
   }
-  std::string_view rest() {
-    const std::string_view part = left_;
-    left_ = {};
+  /// Everything that has not been read.
+  std::string_view remaining_bytes() {
+    const std::string_view part = remaining_;
+    remaining_ = {};
     return part;
   }
   [[nodiscard]] bool bad() const { return bad_; }
-  [[nodiscard]] bool done() const { return left_.empty() && !bad_; }
-  [[nodiscard]] std::size_t left() const { return left_.size(); }
+  /// Whether everything was read, and no read failed.
+  [[nodiscard]] bool done() const { return remaining_.empty() && !bad_; }
+  [[nodiscard]] std::size_t remaining() const { return remaining_.size(); }
 
  private:
   std::string_view fail() {
     bad_ = true;
-    left_ = {};
+    remaining_ = {};
     return {};
   }
   std::uint32_t number(std::size_t size) {
@@ -54,20 +59,22 @@
     return value;
   }
 
-  std::string_view left_;
+  std::string_view remaining_;
   bool bad_ = false;
 };
 
-// Appends one message after another to a string.
+/// Appends one message after another to a string, which must outlive it.
 class Writer {
  public:
   explicit Writer(std::string& out) : out_(out) {}
 
+  /// Begins a message of a type.
   Writer& begin(char type) {
     out_.push_back(type);
     return begin_untyped();
   }
-  Writer& begin_untyped() {  // startup, SSLRequest, CancelRequest
+  /// Begins a message without one: StartupMessage, SSLRequest, CancelRequest.
+  Writer& begin_untyped() {
     start_ = out_.size();
     return u32(0);
   }
@@ -78,11 +85,13 @@
     out_.append(value);
     return *this;
   }
-  Writer& text(std::string_view value) {  // a zero inside would end it early, so it ends there here too
+  /// A string and its terminating zero. It is cut at a zero inside, where a reader would end it.
+  Writer& text(std::string_view value) {
     out_.append(value.substr(0, value.find('\0')));
     out_.push_back('\0');
     return *this;
   }
+  /// Ends the message: fills in its length.
   void end() {
     const auto length = static_cast<std::uint32_t>(out_.size() - start_);
     for (std::size_t i = 0; i < 4; ++i) out_[start_ + i] = static_cast<char>(length >> (24 - 8 * i) & 255U);
--- a/src/protocol/pg/frame.cpp
+++ b/src/protocol/pg/frame.cpp
@@ -3,47 +3,48 @@
 #include "bytes.hpp"
 
 namespace paddlestand::pg {
-
 namespace {
-constexpr std::size_t keep_room = 4096;  // a larger buffer is given back once it is empty: most sessions idle
+
+constexpr std::size_t retained_buffer_bytes =
+    4096;  // a larger one is freed once empty: most sessions are idle
+constexpr std::size_t length_bytes = 4;
+
+std::string describe_type(char type, bool typed) {
+  if (!typed) return "startup";
+  const auto code = static_cast<unsigned char>(type);
+  if (code > 32 && code < 127) return "'" + std::string(1, type) + "'";
+  return std::to_string(code);
 }
 
+}  // namespace
+
 void FrameReader::feed(std::string_view bytes) {
-  if (at_ == buffer_.size()) {
+  if (read_ == buffer_.size()) {
     buffer_.clear();
-    at_ = 0;
-    if (buffer_.capacity() > keep_room) buffer_.shrink_to_fit();
-  } else if (at_ > buffer_.size() / 2) {
-    buffer_.erase(0, at_);
-    at_ = 0;
+    read_ = 0;
+    if (buffer_.capacity() > retained_buffer_bytes) buffer_.shrink_to_fit();
+  } else if (read_ > buffer_.size() / 2) {
+    buffer_.erase(0, read_);
+    read_ = 0;
   }
   buffer_.append(bytes);
 }
 
 std::optional<Frame> FrameReader::next(bool typed) {
-  const std::size_t head = typed ? 5 : 4;
-  if (bad_ || waiting() < head) return std::nullopt;
-  const std::string_view here = std::string_view(buffer_).substr(at_);
-  const std::uint32_t length = Reader(here.substr(head - 4)).u32();
-  if (length < 4 || length - 4 > most_) {
+  const std::size_t header_bytes = typed ? length_bytes + 1 : length_bytes;
+  if (bad_ || waiting() < header_bytes) return std::nullopt;
+  const std::string_view buffered = std::string_view(buffer_).substr(read_);
+  const std::uint32_t length = Reader(buffered.substr(header_bytes - length_bytes)).u32();
+  if (length < length_bytes || length - length_bytes > max_body_bytes_) {
     bad_ = true;
-    problem_ = "message of type ";
-    const auto type = static_cast<unsigned char>(here[0]);
-    if (!typed) {
-      problem_ += "startup";
-    } else if (type > 32 && type < 127) {
-      problem_ += "'" + std::string(1, here[0]) + "'";
-    } else {
-      problem_ += std::to_string(type);
-    }
-    problem_ +=
-        " announces a length of " + std::to_string(length) + "; wanted: 4 to " + std::to_string(most_ + 4);
+    problem_ = "message of type " + describe_type(buffered[0], typed) + " announces a length of " +
+               std::to_string(length) + "; wanted: 4 to " + std::to_string(max_body_bytes_ + length_bytes);
     return std::nullopt;
   }
-  const std::size_t whole = head - 4 + length;
-  if (here.size() < whole) return std::nullopt;
-  at_ += whole;
-  return Frame{typed ? here[0] : '\0', here.substr(head, length - 4)};
+  const std::size_t message_bytes = header_bytes - length_bytes + length;
+  if (buffered.size() < message_bytes) return std::nullopt;
+  read_ += message_bytes;
+  return Frame{typed ? buffered[0] : '\0', buffered.substr(header_bytes, length - length_bytes)};
 }
 
 }  // namespace paddlestand::pg
--- a/src/protocol/pg/frame.hpp
+++ b/src/protocol/pg/frame.hpp
@@ -1,6 +1,6 @@
-// Cuts a stream of bytes into messages of protocol 3.0: a type, a length of four bytes that counts itself, a
-// body. Incremental: bytes may come one at a time. A length is checked before a byte is kept for it, and room
-// grows only as bytes come.
+/// Splits a stream of bytes into messages of PostgreSQL's protocol 3.0 (chapter 55.1.1 of its manual): a
+/// type, a length of four bytes that counts itself, a body. Bytes may arrive one at a time. A length is
+/// checked before any byte is buffered for it, and the buffer grows only as bytes arrive.
 #pragma once
 
 #include <cstdint>
@@ -10,35 +10,40 @@
 
 namespace paddlestand::pg {
 
+/// One message.
 struct Frame {
-  char type{};  // zero for a message without type (startup and its like)
-  std::string_view body;  // valid until the next call of the reader
+  char type{};  ///< zero for a message without one (StartupMessage and its like)
+  std::string_view body;  ///< valid until the next call of the reader
 };
 
+/// The buffer of one connection's input.
 class FrameReader {
  public:
-  explicit FrameReader(std::size_t most_bytes) : most_(most_bytes) {}
+  /// `max_body_bytes`: a message that announces more is an error.
+  explicit FrameReader(std::size_t max_body_bytes) : max_body_bytes_(max_body_bytes) {}
 
   void feed(std::string_view bytes);
 
-  // The next whole message, if it is there. After bad() there is none any more.
+  /// The next message, if it has arrived completely. After bad() there is none any more.
   std::optional<Frame> next(bool typed = true);
 
+  /// Whether a length was impossible: problem() says which.
   [[nodiscard]] bool bad() const { return bad_; }
   [[nodiscard]] const std::string& problem() const { return problem_; }
-  [[nodiscard]] std::size_t waiting() const { return buffer_.size() - at_; }
-  // What has not been cut yet; the reader is empty then.
-  std::string take_waiting() {
-    std::string left = buffer_.substr(at_);
+  /// The bytes buffered.
+  [[nodiscard]] std::size_t waiting() const { return buffer_.size() - read_; }
+  /// Removes the buffered bytes from the reader and returns them.
+  std::string extract_buffered() {
+    std::string buffered = buffer_.substr(read_);
     buffer_.clear();
-    at_ = 0;
-    return left;
+    read_ = 0;
+    return buffered;
   }
 
  private:
   std::string buffer_;
-  std::size_t at_ = 0;
-  std::size_t most_;
+  std::size_t read_ = 0;  // bytes of it
+  std::size_t max_body_bytes_;
   bool bad_ = false;
   std::string problem_;
 };
--- a/src/protocol/pg/messages.hpp
+++ b/src/protocol/pg/messages.hpp
@@ -1,5 +1,6 @@
-// Messages of PostgreSQL's protocol 3.0 (chapter 55 of its manual), both directions: builders that append to
-// a string, and parsers for what this program reads. Views point into the message they were parsed from.
+/// Messages of PostgreSQL's protocol 3.0 (chapter 55.7 of its manual), both directions: builders that append
+/// to a string, and parsers of what this program reads. A parser returns nothing where the body is malformed;
+/// the views it returns point into the body.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +14,70 @@
 
 namespace paddlestand::pg {
 
-inline constexpr std::uint32_t protocol_3 = 196608;
-inline constexpr std::uint32_t cancel_code = 80877102;
-inline constexpr std::uint32_t ssl_code = 80877103;
-inline constexpr std::uint32_t gss_code = 80877104;
-
+/// The codes at the beginning of messages without a type.
+inline constexpr std::uint32_t protocol_3 =
+    196608;  ///< StartupMessage: the version, major in the high 16 bits
+inline constexpr std::uint32_t cancel_code = 80877102;  ///< CancelRequest
+inline constexpr std::uint32_t ssl_code = 80877103;  ///< SSLRequest
+inline constexpr std::uint32_t gss_code = 80877104;  ///< GSSENCRequest
+/// The answer to SSLRequest and GSSENCRequest: go on without encryption.
+inline constexpr char encryption_declined = 'N';
+
+/// Types of messages that a client (frontend) sends.
+namespace frontend_message {
+inline constexpr char bind = 'B';
+inline constexpr char close = 'C';
+inline constexpr char copy_data = 'd';
+inline constexpr char copy_done = 'c';
+inline constexpr char copy_fail = 'f';
+inline constexpr char describe = 'D';
+inline constexpr char execute = 'E';
+inline constexpr char flush = 'H';
+inline constexpr char function_call = 'F';
+inline constexpr char parse = 'P';
+inline constexpr char password = 'p';  ///< PasswordMessage, SASLInitialResponse and SASLResponse
+inline constexpr char query = 'Q';
+inline constexpr char sync = 'S';
+inline constexpr char terminate = 'X';
+}  // namespace frontend_message
+
+/// Types of messages that a server (backend) sends.
+namespace backend_message {
+inline constexpr char authentication = 'R';
+inline constexpr char backend_key_data = 'K';
+inline constexpr char bind_complete = '2';
+inline constexpr char close_complete = '3';
+inline constexpr char command_complete = 'C';
+inline constexpr char copy_data = 'd';
+inline constexpr char data_row = 'D';
+inline constexpr char empty_query_response = 'I';
+inline constexpr char error_response = 'E';
+inline constexpr char negotiate_protocol_version = 'v';
+inline constexpr char no_data = 'n';
+inline constexpr char notice_response = 'N';
+inline constexpr char notification_response = 'A';
+inline constexpr char parameter_description = 't';
+inline constexpr char parameter_status = 'S';
+inline constexpr char parse_complete = '1';
+inline constexpr char portal_suspended = 's';
+inline constexpr char ready_for_query = 'Z';
+inline constexpr char row_description = 'T';
+}  // namespace backend_message
+
+/// Codes of Authentication messages.
+namespace authentication {
+inline constexpr std::uint32_t ok = 0;
+inline constexpr std::uint32_t sasl = 10;
+inline constexpr std::uint32_t sasl_continue = 11;
+inline constexpr std::uint32_t sasl_final = 12;
+}  // namespace authentication
+
+/// The status in ReadyForQuery of a session outside of a transaction block.
+inline constexpr char transaction_idle = 'I';
+/// The type `text` in RowDescription.
+inline constexpr std::uint32_t text_type_oid = 25;
+
+/// What BackendKeyData gives to a client for its CancelRequests.
 struct CancelKey {
   std::uint32_t process{};
   std::uint32_t secret{};
@@ -26,32 +86,38 @@
 
 // ---- From a client ----
 
+/// StartupMessage, SSLRequest, GSSENCRequest or CancelRequest.
 struct StartupMessage {
-  std::uint32_t code{};  // the version asked for, or one of the codes above
+  std::uint32_t code{};  ///< the version asked for, or one of the codes above
   std::vector<std::pair<std::string, std::string>> parameters;
-  CancelKey key;  // of a CancelRequest
+  CancelKey key;  ///< of a CancelRequest
 };
 std::optional<StartupMessage> parse_startup(std::string_view body);
 
 struct ParseMessage {
-  std::string_view statement, query, types;  // types: as they stand, their count included
+  std::string_view statement;  ///< its name
+  std::string_view query;
+  std::string_view types;  ///< of its parameters: as in the message, their count included
 };
 std::optional<ParseMessage> parse_parse(std::string_view body);
 
 struct BindMessage {
-  std::string_view portal, statement, rest;
+  std::string_view portal;
+  std::string_view statement;
+  std::string_view parameters;  ///< formats, values and result formats, as in the message
 };
 std::optional<BindMessage> parse_bind(std::string_view body);
 
-struct NamedMessage {  // Describe and Close
-  char what{};  // 'S' or 'P'
+/// Describe or Close.
+struct NamedMessage {
+  char target{};  ///< 'S': a statement, 'P': a portal
   std::string_view name;
 };
 std::optional<NamedMessage> parse_named(std::string_view body);
 
 struct ExecuteMessage {
   std::string_view portal;
-  std::uint32_t most_rows{};
+  std::uint32_t max_rows{};  ///< zero: all
 };
 std::optional<ExecuteMessage> parse_execute(std::string_view body);
 
@@ -59,34 +125,47 @@
 void put_cancel(std::string& out, CancelKey key);
 void put_query(std::string& out, std::string_view text);
 void put_parse(std::string& out, std::string_view statement, std::string_view query, std::string_view types);
-void put_bind(std::string& out, std::string_view portal, std::string_view statement, std::string_view rest);
-void put_named(std::string& out, char type, char what, std::string_view name);
+void put_bind(std::string& out, std::string_view portal, std::string_view statement,
+              std::string_view parameters);
+/// Describe or Close.
+void put_named(std::string& out, char type, char target, std::string_view name);
+/// Any message, its body ready.
 void put_raw(std::string& out, char type, std::string_view body);
-void put_empty(std::string& out, char type);  // Sync, Flush, Terminate
+/// A message without a body: Sync, ParseComplete and their like.
+void put_empty(std::string& out, char type);
+/// PasswordMessage or SASLResponse.
 void put_password(std::string& out, std::string_view body);
+/// SASLInitialResponse.
 void put_sasl_first(std::string& out, std::string_view mechanism, std::string_view body);
 
 // ---- From a server ----
 
-struct Fields {  // of an ErrorResponse or a NoticeResponse
+/// The fields of an ErrorResponse or a NoticeResponse (chapter 55.8); `code` is the SQLSTATE.
+struct Fields {
   std::string severity, code, message, detail, hint;
 };
 std::optional<Fields> parse_fields(std::string_view body);
 
 void put_error(std::string& out, const Fields& fields);
 void put_notice(std::string& out, const Fields& fields);
+/// ParameterStatus.
 void put_parameter(std::string& out, std::string_view name, std::string_view value);
+/// BackendKeyData.
 void put_key(std::string& out, CancelKey key);
+/// ReadyForQuery.
 void put_ready(std::string& out, char status);
 void put_authentication(std::string& out, std::uint32_t code, std::string_view body = {});
+/// CommandComplete.
 void put_complete(std::string& out, std::string_view tag);
 
+/// A column of a RowDescription.
 struct Column {
   std::string name;
-  std::uint32_t type = 25;  // text
-  std::int16_t size = -1;
+  std::uint32_t type = text_type_oid;
+  std::int16_t size = -1;  ///< bytes; negative: it varies
 };
 void put_row_description(std::string& out, std::span<const Column> columns);
+/// DataRow, of values that are not null.
 void put_row(std::string& out, std::span<const std::string_view> values);
 
 }  // namespace paddlestand::pg
--- /dev/null
+++ b/src/protocol/pg/text.hpp
@@ -0,0 +1,16 @@
+/// Text as PostgreSQL's clients send it: case folding of ASCII names, and whether it is UTF-8.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+namespace paddlestand::pg {
+
+/// With ASCII letters in lower case.
+[[nodiscard]] std::string to_lower(std::string_view text);
+
+/// Whether the text is well-formed UTF-8 (RFC 3629): no overlong forms, no surrogates, nothing above
+/// U+10FFFF.
+[[nodiscard]] bool is_utf8(std::string_view text);
+
+}  // namespace paddlestand::pg
