--- /dev/null
+++ b/tests/decision/load_balancer_test.cpp
@@ -0,0 +1,70 @@
+#include "decision/load_balancer.hpp"
+
+#include <gtest/gtest.h>
+
+#include "decision_fixture.hpp"
+
+namespace paddlestand::decision {
+namespace {
+
+TEST(LoadBalancer, TheLeastLoadedEngineIsChosen) {
+  DecisionFixture fixture;
+  fixture.add_engine(1).threads = 20;
+  fixture.add_engine(2);
+
+  const Engine* chosen = fixture.balancer.choose(fixture.add_request(1));
+
+  ASSERT_NE(chosen, nullptr);
+  EXPECT_EQ(chosen->entry.engine, 2U);
+}
+
+TEST(LoadBalancer, EjectedAndOverloadedEnginesAreNotChosen) {
+  DecisionFixture fixture;
+  fixture.add_engine(1).health = Health::ejected;
+  fixture.add_engine(2).overloaded_until = 1;
+
+  EXPECT_EQ(fixture.balancer.choose(fixture.add_request(1)), nullptr);
+}
+
+TEST(LoadBalancer, AnEngineOnProbationGetsOneIdempotentRequestAtATime) {
+  Settings settings = test::small_site();
+  settings.classes[1].repeat = Idempotency::non_idempotent;
+  DecisionFixture fixture(settings);
+  Engine& engine = fixture.add_engine(1);
+  engine.health = Health::probation;
+  const Request& idempotent = fixture.add_request(1, 0);
+  const Request& non_idempotent = fixture.add_request(2, 1);
+
+  EXPECT_EQ(fixture.balancer.choose(idempotent), &engine);
+  EXPECT_EQ(fixture.balancer.choose(non_idempotent), nullptr);
+
+  engine.queries = 1;
+  EXPECT_EQ(fixture.balancer.choose(idempotent), nullptr);
+}
+
+TEST(LoadBalancer, NothingIsChosenOnceTheThreadBoundIsReached) {
+  DecisionFixture fixture;
+  fixture.add_engine(1);
+  const Request& request = fixture.add_request(1);
+  ASSERT_NE(fixture.balancer.choose(request), nullptr);
+
+  fixture.state.threads_by_priority[3] = fixture.state.fleet.thread_bound;
+  EXPECT_EQ(fixture.balancer.choose(request), nullptr);
+}
+
+TEST(LoadBalancer, BoundsCountHealthyReadyEnginesOnly) {
+  DecisionFixture fixture;
+  fixture.add_engine(1);
+  const double bound_of_one = fixture.state.fleet.thread_bound;
+  fixture.add_engine(2, EngineState::draining);
+  fixture.add_engine(3).health = Health::ejected;
+
+  fixture.balancer.update_bounds();
+
+  EXPECT_EQ(fixture.state.fleet.ready_engines, 2);
+  EXPECT_EQ(fixture.state.fleet.unhealthy_engines, 1);
+  EXPECT_DOUBLE_EQ(fixture.state.fleet.thread_bound, bound_of_one);
+}
+
+}  // namespace
+}  // namespace paddlestand::decision
--- /dev/null
+++ b/tests/decision/recent_times_test.cpp
@@ -0,0 +1,29 @@
+#include "decision/recent_times.hpp"
+
+#include <gtest/gtest.h>
+
+namespace paddlestand::decision {
+namespace {
+
+TEST(RecentTimes, AnEventAtTheEdgeOfAWindowIsCountedByOneOfTheTwoCounts) {
+  RecentTimes times;
+  times.add(1);
+  times.add(2);
+  times.add(3);
+
+  EXPECT_EQ(times.count_after(2), 1);
+  EXPECT_EQ(times.count_from(2), 2);
+}
+
+TEST(RecentTimes, OldEventsAreForgottenAndThoseAtTheLimitStay) {
+  RecentTimes times;
+  times.add(1);
+  times.add(2);
+
+  times.forget_before(2);
+
+  EXPECT_EQ(times.size(), 1U);
+}
+
+}  // namespace
+}  // namespace paddlestand::decision
--- /dev/null
+++ b/tests/decision/resource_grants_test.cpp
@@ -0,0 +1,79 @@
+#include "decision/resource_grants.hpp"
+
+#include <gtest/gtest.h>
+
+#include "decision_fixture.hpp"
+
+namespace paddlestand::decision {
+namespace {
+
+TEST(ResourceGrants, ShortRequestsHaveAHigherPriorityThanLongOnes) {
+  DecisionFixture fixture;
+  const Request& short_request = fixture.add_request(1, 0, 0.1);
+  const Request& long_request = fixture.add_request(2, 0, 10);
+  fixture.costs.record_arrival(short_request);
+  fixture.costs.record_arrival(long_request);
+
+  EXPECT_EQ(fixture.grants.priority_of(short_request), 3);
+  EXPECT_EQ(fixture.grants.priority_of(long_request), 1);
+}
+
+TEST(ResourceGrants, RequestsOverTheirQuotaOrPastTheirObjectiveHaveTheLowestPriority) {
+  DecisionFixture fixture;
+  Request& request = fixture.add_request(1);
+  fixture.costs.record_arrival(request);
+  EXPECT_GT(fixture.grants.priority_of(request), 0);
+
+  request.over_quota = true;
+  EXPECT_EQ(fixture.grants.priority_of(request), 0);
+
+  request.over_quota = false;
+  fixture.state.now = 2;
+  EXPECT_EQ(fixture.grants.priority_of(request), 0);
+}
+
+TEST(ResourceGrants, ThreadsOfLowerPriorityHardlyCompeteWhereEnginesHonourPriorities) {
+  Settings settings = test::small_site();
+  settings.engines_honor_priorities = true;
+  DecisionFixture fixture(settings);
+  Request& request = fixture.add_request(1);
+  fixture.costs.record_arrival(request);
+  ASSERT_EQ(fixture.grants.priority_of(request), 2);
+
+  fixture.state.threads_by_priority = {16, 0, 0, 0};
+  EXPECT_DOUBLE_EQ(fixture.grants.competing_threads(request), 1);
+  fixture.state.threads_by_priority = {0, 0, 16, 0};
+  EXPECT_DOUBLE_EQ(fixture.grants.competing_threads(request), 16);
+}
+
+TEST(ResourceGrants, AGrantIsMadeOnlyWhereEnginesHonourIt) {
+  Settings settings = test::small_site();
+  settings.engines_honor_grants = true;
+  DecisionFixture fixture(settings);
+  DecisionFixture without_grants;
+  Attempt attempt;
+  attempt.granted_memory = 100;
+
+  const auto grant = fixture.grants.grant_for(fixture.add_request(1), attempt);
+
+  ASSERT_TRUE(grant.has_value());
+  EXPECT_EQ(grant->memory_mb, 100);
+  EXPECT_FALSE(without_grants.grants.grant_for(without_grants.add_request(1), attempt).has_value());
+}
+
+TEST(ResourceGrants, UnannouncedMemoryIsBoundedWhereAShortageHarmsAll) {
+  Settings settings = test::small_site();
+  settings.memory_shortage = MemoryShortage::overcommit;
+  DecisionFixture fixture(settings);
+  Request& request = fixture.add_request(1);
+  request.estimated_memory = 100;
+  fixture.state.fleet.memory_bound = 1000;
+
+  fixture.state.unannounced_memory = 500;
+  EXPECT_TRUE(fixture.grants.has_memory_for(request));
+  fixture.state.unannounced_memory = 2000;
+  EXPECT_FALSE(fixture.grants.has_memory_for(request));
+}
+
+}  // namespace
+}  // namespace paddlestand::decision
