--- a/tests/decision/admission_controller_test.cpp
+++ b/tests/decision/admission_controller_test.cpp
@@ -96,3 +96,28 @@
 
 }  // namespace
 }  // namespace paddlestand::decision
+
+// Checked on the whole manager.
+namespace paddlestand::test {
+namespace {
+
+// A request that is past saving is answered at once, with advice when to retry.
+TEST(RetryAdvice, ARejectionIsImmediateAndCarriesAdvice) {
+  Settings settings = small_site();
+  settings.may_advise_retry = true;
+  settings.max_retry_after = 2s;
+  ManagerHarness harness(settings);
+  harness.fleet({engine(1)});
+  harness.request(1, 0, 4s, 0, 1s);  // it can't be done before its deadline
+  ASSERT_EQ(harness.count<Reject>(1), 1);
+  for (const auto& [at, action] : harness.log()) {
+    const auto* reject = std::get_if<Reject>(&action);
+    if (reject == nullptr) continue;
+    EXPECT_EQ(at, harness.now());
+    EXPECT_GT(reject->retry_after, 0s);
+    EXPECT_LE(reject->retry_after, 2s);
+  }
+}
+
+}  // namespace
+}  // namespace paddlestand::test
--- a/tests/decision/attempt_timeouts_test.cpp
+++ b/tests/decision/attempt_timeouts_test.cpp
@@ -2,6 +2,8 @@
 
 #include <gtest/gtest.h>
 
+#include <limits>
+
 #include "decision_fixture.hpp"
 
 namespace paddlestand::decision {
@@ -71,3 +73,73 @@
 
 }  // namespace
 }  // namespace paddlestand::decision
+
+// Checked on the whole manager.
+namespace paddlestand::test {
+namespace {
+
+Settings with_progress_reports() {
+  Settings settings = small_site();
+  settings.progress_report_period = 500ms;
+  return settings;
+}
+
+// Starts one heavy request alone, after some that showed how long such requests run.
+RequestId start_heavy(ManagerHarness& harness) {
+  harness.fleet({engine(1), engine(2)});
+  for (RequestId id = 1; id <= 10; ++id) {
+    harness.request(id, 1, 1s, 0, 15s);
+    harness.end(id, AttemptResult::served, 1s);
+  }
+  harness.request(50, 1, 1s, 0, 15s);
+  return 50;
+}
+
+// Guards against cancelling what is only long: its work would be lost and done again.
+TEST(ProgressReports, AnAttemptThatProgressesIsNotCancelledForItsAge) {
+  ManagerHarness harness(with_progress_reports());
+  const RequestId id = start_heavy(harness);
+  for (int i = 1; i <= 6; ++i) {
+    harness.advance(500ms);
+    harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.15 * i});
+  }
+  EXPECT_EQ(harness.count<Cancel>(id), 0);
+}
+
+// Guards against a bad plan: little is done, and what remains would take longer than a new run.
+TEST(ProgressReports, AnAttemptWithABadPlanIsCancelledAtItsFirstReports) {
+  ManagerHarness harness(with_progress_reports());
+  const RequestId id = start_heavy(harness);
+  harness.advance(500ms);
+  harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.02});
+  harness.advance(200ms);
+  EXPECT_EQ(harness.count<Cancel>(id), 1);
+}
+
+// Guards against lost answers: reports of an attempt that has ended stop, whatever its engine answers to
+// others.
+TEST(ProgressReports, AnAttemptWithoutFurtherReportsIsCancelled) {
+  ManagerHarness harness(with_progress_reports());
+  const RequestId id = start_heavy(harness);
+  harness.advance(400ms);
+  harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.9});
+  harness.advance(700ms);
+  EXPECT_EQ(harness.count<Cancel>(id), 0);
+  harness.advance(300ms);
+  EXPECT_EQ(harness.count<Cancel>(id), 1);
+}
+
+TEST(ProgressReports, InvalidReportsAndReportsOfUnknownAttemptsAreIgnored) {
+  ManagerHarness harness(with_progress_reports());
+  const RequestId id = start_heavy(harness);
+  harness.handle(ProgressReported{id, 7, ProgressKind::progress, 0.5});
+  harness.handle(ProgressReported{999, 0, ProgressKind::progress, 0.5});
+  harness.handle(ProgressReported{id, 0, ProgressKind::progress, -1});
+  harness.handle(ProgressReported{id, 0, ProgressKind::progress, std::numeric_limits<double>::quiet_NaN()});
+  harness.handle(ProgressReported{1, 0, ProgressKind::progress, 0.0});
+  harness.advance(100ms);
+  EXPECT_EQ(harness.count<Cancel>(id), 0);
+}
+
+}  // namespace
+}  // namespace paddlestand::test
--- a/tests/decision/fleet_size_test.cpp
+++ b/tests/decision/fleet_size_test.cpp
@@ -1,4 +1,4 @@
-// Many managers before many engines: each takes little and sees little, and all decide alike.
+// Many managers before many engines: each sends little and sees little, and all decide alike.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,11 +9,11 @@
 namespace {
 
 Settings one_of(std::uint32_t instances, std::uint32_t instance_index) {
-  Settings s = small_site();
-  s.instances = instances;
-  s.instance_index = instance_index;
-  s.seed = 1000 + instance_index;
-  return s;
+  Settings settings = small_site();
+  settings.instances = instances;
+  settings.instance_index = instance_index;
+  settings.seed = 1000 + instance_index;
+  return settings;
 }
 
 std::vector<EngineEntry> engines(EngineId count) {
@@ -22,8 +22,8 @@
   return list;
 }
 
-// Guards against herding: where nobody holds anything, the same tie-break at all sends all to one engine.
-TEST(AtSize, FirstSendsOfManyManagersSpreadOverTheFleet) {
+// Guards against herding: with nothing in flight, the same tie-break at all managers sends all to one engine.
+TEST(FleetSize, FirstSendsOfManyManagersSpreadOverTheFleet) {
   std::map<EngineId, int> first;
   for (std::uint32_t instance_index = 0; instance_index < 200; ++instance_index) {
     ManagerHarness harness(one_of(200, instance_index));
@@ -35,8 +35,8 @@
   for (const auto& [id, sends] : first) EXPECT_LE(sends, 30) << "engine " << id;
 }
 
-// The parts of a cold engine's budget never sum to more than it, and never to nothing.
-TEST(AtSize, PartsOfAColdEnginesBudgetSumToNoMoreThanIt) {
+// The parts of a slow-start budget never sum to more than it, and never to nothing.
+TEST(FleetSize, BudgetPartsOfAnEngineInSlowStartNeverExceedItsBudget) {
   for (const std::uint32_t instances : {1U, 2U, 3U, 5U, 30U, 47U, 200U, 270U, 300U}) {
     double sent = 0;
     for (std::uint32_t instance_index = 0; instance_index < instances; ++instance_index) {
@@ -60,11 +60,12 @@
   }
 }
 
-// What an earlier start of a manager sent to a cold engine is not known to the next: all parts once more,
-// within one window, would sum to twice the budget.
-TEST(AtSize, ARestartedManagerSendsAColdEngineNothingInItsFirstWindow) {
+// What an earlier incarnation of a manager sent to an engine in slow start is not known to the next: all
+// parts once more, within one window, would sum to twice the budget.
+TEST(FleetSize, ARestartedManagerSendsNothingToAnEngineInSlowStartInItsFirstWindow) {
   for (const std::uint32_t instances : {3U, 30U, 300U}) {
-    int at_first = 0, later = 0;
+    int at_first = 0;
+    int later = 0;
     for (std::uint32_t instance_index = 0; instance_index < instances; ++instance_index) {
       ManagerHarness harness(one_of(instances, instance_index));
       harness.fleet({engine(2, EngineState::ready, harness.now())});
@@ -80,7 +81,7 @@
   }
 }
 
-TEST(AtSize, APositionBeyondTheInstancesHasNoPartOfAColdEngine) {
+TEST(FleetSize, AnIndexBeyondTheInstancesHasNoPartOfASlowStartBudget) {
   ManagerHarness harness(one_of(5, 9));
   harness.fleet({engine(1)});
   harness.advance(5s);
@@ -90,9 +91,9 @@
   EXPECT_EQ(harness.sends(1), 0);
 }
 
-// Guards against a black hole where each engine is met seldom: one failure there must tell more than one of
-// many.
-TEST(AtSize, OneFailureIsEnoughWhereLittleIsSeenOfAnEngine) {
+// Guards against an engine that fails fast where each engine is used seldom: one failure there must weigh
+// more than one of many.
+TEST(FleetSize, OneFailureIsEnoughWhereAnEngineIsSeldomUsed) {
   ManagerHarness harness(one_of(200, 3));
   harness.fleet(engines(10));
   harness.request(1);
@@ -107,8 +108,9 @@
   EXPECT_LE(harness.sends_to(bad), 3);
 }
 
-// Guards against a bound that is passed by: where a class is always alone, its latency must still count.
-TEST(AtSize, WhatIsAloneInItsClassIsRefusedWhileLatencyIsOutOfBounds) {
+// Guards against a bound without effect: where a request is always alone in its class, latency must still
+// count.
+TEST(FleetSize, ARequestAloneInItsClassIsRejectedWhileLatencyIsOverTheObjective) {
   ManagerHarness harness(one_of(200, 3));
   harness.fleet(engines(10));
   RequestId id = 1;
@@ -118,19 +120,19 @@
     if (harness.sends(id) > 0 && harness.count<Reject>(id) + harness.count<Fail>(id) == 0)
       harness.end(id, AttemptResult::served, 2s);
   }
-  int refused = 0;
+  int rejected = 0;
   for (RequestId last = id + 20; id < last; ++id) {
     harness.request(id, 1, 8s, 0, 15s);
-    refused += harness.count<Reject>(id);
+    rejected += harness.count<Reject>(id);
     harness.advance(9s);
     if (harness.sends(id) > 0 && harness.count<Reject>(id) + harness.count<Fail>(id) == 0)
       harness.end(id, AttemptResult::served, 2s);
   }
-  EXPECT_GT(refused, 3);
+  EXPECT_GT(rejected, 3);
 }
 
-// An engine that was silent and is let back takes its full part again: only the list tells of a cold start.
-TEST(AtSize, AnEngineThatIsLetBackIsNotHeldForCold) {
+// An engine that recovers from ejection gets its full part again: only the endpoint list announces a start.
+TEST(FleetSize, AnEngineThatRecoversFromEjectionHasNoSlowStart) {
   ManagerHarness harness(one_of(1, 0));
   harness.fleet(engines(1));
   RequestId id = 1;
@@ -155,7 +157,7 @@
   EXPECT_GE(harness.sends_to(1) - before, 8);
 }
 
-TEST(AtSize, EveryRequestIsAnsweredOnceAtAnyNumberOfInstances) {
+TEST(FleetSize, EveryRequestIsAnsweredOnceAtAnyNumberOfInstances) {
   for (const std::uint32_t instances : {0U, 1U, 5U, 200U, 4000000000U}) {
     ManagerHarness harness(one_of(instances, 0));
     harness.fleet(engines(6));
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -68,3 +68,34 @@
 
 }  // namespace
 }  // namespace paddlestand::decision
+
+// Checked on the whole manager.
+namespace paddlestand::test {
+namespace {
+
+// Crossing zones is expensive for a light request: it stays while engines of both zones report alike.
+TEST(ZoneRouting, RequestsStayInTheirZoneUntilItIsOverloaded) {
+  Settings settings = small_site();
+  settings.cross_zone_price = 0.04;
+  ManagerHarness harness(settings);
+  EngineEntry other_zone = engine(2);
+  other_zone.zone = 1;
+  harness.fleet({engine(1), other_zone});
+  RequestId id = 1;
+  const auto serve = [&](int n) {
+    for (int i = 0; i < n; ++i, ++id) {
+      harness.request(id);
+      AttemptEnded end{id, 0, harness.engine_of(id), AttemptResult::served, 100ms, true, 100ms, 10, {}};
+      end.report.queries = end.engine == 1 && id > 50 ? 40 : 2;
+      harness.handle(end);
+    }
+  };
+  serve(50);
+  const int in_zone = harness.sends_to(1);
+  EXPECT_GE(in_zone, 45);
+  serve(100);
+  EXPECT_GE(harness.sends_to(2), 30);
+}
+
+}  // namespace
+}  // namespace paddlestand::test
--- a/tests/decision/resource_grants_test.cpp
+++ b/tests/decision/resource_grants_test.cpp
@@ -77,3 +77,40 @@
 
 }  // namespace
 }  // namespace paddlestand::decision
+
+// Checked on the whole manager.
+namespace paddlestand::test {
+namespace {
+
+Settings with_memory_shortage(MemoryShortage shortage) {
+  Settings settings = small_site();
+  settings.instances = 10;
+  settings.engines_honor_grants = true;
+  settings.memory_shortage = shortage;
+  return settings;
+}
+
+int sent_of_ten_large_requests(MemoryShortage shortage) {
+  ManagerHarness harness(with_memory_shortage(shortage));
+  harness.fleet({engine(1), engine(2), engine(3), engine(4)});
+  int sent = 0;
+  for (RequestId id = 1; id <= 10; ++id) {
+    harness.handle(RequestArrived{id, 0, 0, 0, 5s, 100ms, 2000, 1, false});
+    sent += harness.sends(id);
+  }
+  return sent;
+}
+
+// Guards against memory that stays full: slowed requests hold it longer.
+TEST(MemoryBound, AManagersPartLimitsWhereAShortageHarmsAllThatRuns) {
+  const int with_queue = sent_of_ten_large_requests(MemoryShortage::queue);
+  for (const MemoryShortage shortage : {MemoryShortage::overcommit, MemoryShortage::reduce_grant}) {
+    const int sent = sent_of_ten_large_requests(shortage);
+    EXPECT_GE(sent, 1);
+    EXPECT_LE(sent * 2500, 4 * 16384 / 10 * 2);
+    EXPECT_LT(sent, with_queue);
+  }
+}
+
+}  // namespace
+}  // namespace paddlestand::test
--- a/tests/decision/rules_test.cpp
+++ b/tests/decision/rules_test.cpp
@@ -1,17 +1,14 @@
-// The rules, seen from outside: scripted cases, and random legal sequences.
+// The rules of the platform, checked on the whole manager by scripted events.
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <deque>
-#include <random>
-#include <set>
 
 #include "manager_harness.hpp"
 
 namespace paddlestand::test {
 namespace {
 
-TEST(RuleAnswers, AHeldOrSentRequestIsAnsweredOnceBeforeItsDeadline) {
+TEST(DeadlineRule, AHeldOrSentRequestIsAnsweredOnceBeforeItsDeadline) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1)});
   harness.request(1, 0, 100ms, 0, 700ms);
@@ -20,16 +17,16 @@
   harness.advance(2s);
   ASSERT_EQ(harness.count<Reject>(1) + harness.count<Fail>(1), 1);
   for (const auto& [at, action] : harness.log()) {
-    if (const auto* refuse = std::get_if<Reject>(&action)) { EXPECT_LE(at, deadline) << refuse->request; }
+    if (const auto* reject = std::get_if<Reject>(&action)) { EXPECT_LE(at, deadline) << reject->request; }
   }
 }
 
-TEST(RuleEffects, UnsafeWorkThatMayHaveRunIsFailedNeitherResentNorRefused) {
-  Settings s = small_site();
-  s.classes[0].repeat = Idempotency::non_idempotent;
+TEST(IdempotencyRule, NonIdempotentWorkThatMayHaveRunFailsAndIsNeitherRetriedNorRejected) {
+  Settings settings = small_site();
+  settings.classes[0].repeat = Idempotency::non_idempotent;
   for (const AttemptResult result : {AttemptResult::engine_error, AttemptResult::reset,
                                      AttemptResult::timed_out, AttemptResult::cancelled}) {
-    ManagerHarness harness(s);
+    ManagerHarness harness(settings);
     harness.fleet({engine(1), engine(2)});
     harness.request(1);
     harness.end(1, result);
@@ -39,27 +36,27 @@
   }
 }
 
-TEST(RuleEffects, UnsafeWorkThatNeverRanMayBeSentAgain) {
-  Settings s = small_site();
-  s.classes[0].repeat = Idempotency::non_idempotent;
-  ManagerHarness harness(s);
+TEST(IdempotencyRule, NonIdempotentWorkThatDidNotRunIsRetried) {
+  Settings settings = small_site();
+  settings.classes[0].repeat = Idempotency::non_idempotent;
+  ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2)});
   harness.request(1);
   harness.end(1, AttemptResult::rejected);
   EXPECT_EQ(harness.sends(1), 2);
 }
 
-TEST(RuleEffects, KeyedWorkIsRepeatedOnlyInItsGroup) {
-  Settings s = small_site();
-  s.classes[0].repeat = Idempotency::idempotent_with_key;
-  s.classes[0].idempotency_scope = IdempotencyScope::cell;
-  s.classes[0].idempotency_window = 5s;
-  ManagerHarness harness(s);
-  auto other = engine(2);
-  other.cell = 1;
+TEST(IdempotencyRule, WorkWithAKeyIsRetriedOnlyInItsScope) {
+  Settings settings = small_site();
+  settings.classes[0].repeat = Idempotency::idempotent_with_key;
+  settings.classes[0].idempotency_scope = IdempotencyScope::cell;
+  settings.classes[0].idempotency_window = 5s;
+  ManagerHarness harness(settings);
+  auto other_cell = engine(2);
+  other_cell.cell = 1;
   harness.fleet({engine(1)});
   harness.request(1);
-  harness.fleet({engine(1, EngineState::removed), other}, EndpointUpdate::delta);
+  harness.fleet({engine(1, EngineState::removed), other_cell}, EndpointUpdate::delta);
   harness.end(1, AttemptResult::reset);
   EXPECT_EQ(harness.sends(1), 1);
   harness.advance(6s);
@@ -67,12 +64,12 @@
   EXPECT_EQ(harness.count<Fail>(1), 1);
 }
 
-TEST(RuleEffects, KeyedWorkIsNotRepeatedAfterItsWindow) {
-  Settings s = small_site();
-  s.classes[0].repeat = Idempotency::idempotent_with_key;
-  s.classes[0].idempotency_window = 1s;
-  s.classes[0].latency_objective = 10s;
-  ManagerHarness harness(s);
+TEST(IdempotencyRule, WorkWithAKeyIsNotRetriedAfterItsWindow) {
+  Settings settings = small_site();
+  settings.classes[0].repeat = Idempotency::idempotent_with_key;
+  settings.classes[0].idempotency_window = 1s;
+  settings.classes[0].latency_objective = 10s;
+  ManagerHarness harness(settings);
   harness.fleet({engine(1)});
   harness.request(1, 0, 3s, 0, 9s);
   harness.advance(1100ms);
@@ -82,7 +79,7 @@
   EXPECT_EQ(harness.sends(1), 1);
 }
 
-TEST(RuleDrain, NothingGoesToADrainingOrMissingEngine) {
+TEST(DrainRule, NothingIsSentToADrainingOrMissingEngine) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3)});
   harness.fleet({engine(1, EngineState::draining)}, EndpointUpdate::delta);
@@ -93,10 +90,10 @@
   EXPECT_EQ(harness.sends_to(3), 0);
 }
 
-TEST(RuleCold, AColdEngineGetsAtMostThisInstancesPart) {
-  Settings s = small_site();
-  s.instances = 2;
-  ManagerHarness harness(s);
+TEST(SlowStartRule, AnEngineInSlowStartGetsAtMostThisInstancesPart) {
+  Settings settings = small_site();
+  settings.instances = 2;
+  ManagerHarness harness(settings);
   harness.fleet({engine(1)});
   for (RequestId id = 1; id <= 20; ++id) {
     harness.request(id);
@@ -114,11 +111,11 @@
   EXPECT_LE(harness.sends_to(2) * 0.1, 8 * 0.85 * 0.3 * 2.5 * 1.5 / 2);
 }
 
-TEST(RuleOrder, RequestsOfOneKeyRunOneAtATimeInOrder) {
-  Settings s = small_site();
-  s.classes[0].ordered_by_key = true;
-  s.ordering_settle_time = 500ms;
-  ManagerHarness harness(s);
+TEST(OrderingRule, RequestsOfOneKeyRunOneAtATimeInOrder) {
+  Settings settings = small_site();
+  settings.classes[0].ordered_by_key = true;
+  settings.ordering_settle_time = 500ms;
+  ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2)});
   for (RequestId id = 1; id <= 3; ++id) harness.request(id, 0, 100ms, 7);
   harness.request(4, 0, 100ms, 8);
@@ -130,12 +127,12 @@
   EXPECT_EQ(harness.sends(3), 0);
 }
 
-TEST(RuleOrder, AKeyRestsAfterAnAttemptThatMayStillRun) {
-  Settings s = small_site();
-  s.classes[0].ordered_by_key = true;
-  s.classes[0].repeat = Idempotency::non_idempotent;
-  s.ordering_settle_time = 500ms;
-  ManagerHarness harness(s);
+TEST(OrderingRule, AKeySettlesAfterAnAttemptThatMayStillRun) {
+  Settings settings = small_site();
+  settings.classes[0].ordered_by_key = true;
+  settings.classes[0].repeat = Idempotency::non_idempotent;
+  settings.ordering_settle_time = 500ms;
+  ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2)});
   harness.request(1, 0, 100ms, 7);
   harness.request(2, 0, 100ms, 7);
@@ -147,14 +144,14 @@
   EXPECT_EQ(harness.sends(2), 1);
 }
 
-TEST(RulePlacement, ABoundClassGoesOnlyToItsKindsAndZones) {
-  Settings s = small_site();
-  s.kinds.push_back({8, 16384});
-  s.classes[0].allowed_kinds = {1};
-  ManagerHarness harness(s);
-  auto right = engine(2);
-  right.kind = 1;
-  harness.fleet({engine(1), right});
+TEST(PlacementRule, AClassIsSentOnlyToItsAllowedKindsAndZones) {
+  Settings settings = small_site();
+  settings.kinds.push_back({8, 16384});
+  settings.classes[0].allowed_kinds = {1};
+  ManagerHarness harness(settings);
+  auto allowed = engine(2);
+  allowed.kind = 1;
+  harness.fleet({engine(1), allowed});
   harness.request(1);
   EXPECT_EQ(harness.engine_of(1), 2U);
   harness.fleet({engine(2, EngineState::removed)}, EndpointUpdate::delta);
@@ -164,12 +161,12 @@
   EXPECT_EQ(harness.sends_to(1), 0);
 }
 
-TEST(RuleBudget, FurtherAttemptsStayWithinTheRation) {
-  Settings s = small_site();
-  s.retry_budget = RetryBudgetSettings{3, 0.1, 5s};
-  ManagerHarness harness(s);
+TEST(RetryBudgetRule, RetriesStayWithinTheBudget) {
+  Settings settings = small_site();
+  settings.retry_budget = RetryBudgetSettings{3, 0.1, 5s};
+  ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2), engine(3)});
-  int further = 0;
+  int retries = 0;
   for (RequestId id = 1; id <= 20; ++id) {
     harness.request(id);
     while (harness.sends(id) > 0 && harness.count<Reject>(id) + harness.count<Fail>(id) == 0 &&
@@ -178,13 +175,13 @@
       harness.end(id, AttemptResult::connect_failed);
       if (harness.sends(id) == before) break;
     }
-    further += std::max(0, harness.sends(id) - 1);
+    retries += std::max(0, harness.sends(id) - 1);
   }
-  EXPECT_GT(further, 0);
-  EXPECT_LE(further, 5);
+  EXPECT_GT(retries, 0);
+  EXPECT_LE(retries, 5);
 }
 
-TEST(RuleAttempts, NoMoreThanTheMostAttempts) {
+TEST(AttemptLimitRule, ARequestHasAtMostTheAllowedAttempts) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3), engine(4), engine(5)});
   harness.request(1);
@@ -193,155 +190,5 @@
   EXPECT_EQ(harness.count<Reject>(1), 1);
 }
 
-// Random legal sequences; the rules are checked on the actions, from outside. It models no server: outcomes
-// are drawn by chance.
-class RandomDay : public ::testing::TestWithParam<unsigned> {};
-
-TEST_P(RandomDay, KeepsTheRules) {
-  std::mt19937 random(GetParam());
-  const auto draw = [&](unsigned below) { return static_cast<unsigned>(random() % below); };
-  Settings s = small_site();
-  s.instances = 2;
-  s.retry_budget = RetryBudgetSettings{3, 0.2, 2s};
-  s.ordering_settle_time = 100ms;
-  s.classes[1].repeat = Idempotency::non_idempotent;
-  ClassSettings keyed = s.classes[0];
-  keyed.repeat = Idempotency::idempotent_with_key;
-  keyed.idempotency_window = 2s;
-  keyed.ordered_by_key = true;
-  s.classes.push_back(keyed);
-  ManagerHarness harness(s);
-
-  struct Taken {
-    std::uint32_t cls{};
-    std::uint64_t key{};
-    TimePoint deadline{};
-    int answers = 0;
-    bool over = false;
-    std::vector<bool> out;  // by attempt
-    std::vector<bool> may_have_run;
-    TimePoint first_in_doubt{};
-  };
-  std::map<RequestId, Taken> taken;
-  std::vector<TimePoint> arrivals;
-  std::vector<TimePoint> further;
-  std::map<EngineId, EngineState> states;
-  std::map<std::uint64_t, std::vector<RequestId>> lines;
-  std::map<std::uint64_t, TimePoint> rests;
-  std::size_t seen = 0;
-
-  const auto inspect = [&] {
-    for (; seen < harness.log().size(); ++seen) {
-      const auto& [at, action] = harness.log()[seen];
-      if (const auto* send = std::get_if<Send>(&action)) {
-        Taken& t = taken.at(send->request);
-        ASSERT_FALSE(t.over);
-        ASSERT_EQ(std::count(t.out.begin(), t.out.end(), true), 0) << "two at once";
-        ASSERT_EQ(states.at(send->engine), EngineState::ready);
-        ASSERT_LT(t.out.size(), s.max_attempts);
-        const bool doubt = std::count(t.may_have_run.begin(), t.may_have_run.end(), true) > 0;
-        if (doubt) { ASSERT_NE(s.classes[t.cls].repeat, Idempotency::non_idempotent); }
-        if (doubt && t.cls == 2) { ASSERT_LE(at, t.first_in_doubt + 2s); }
-        if (t.key != 0) {
-          for (const RequestId earlier : lines[t.key]) {
-            if (earlier == send->request) break;
-            const Taken& e = taken.at(earlier);
-            ASSERT_TRUE(e.over && std::count(e.out.begin(), e.out.end(), true) == 0) << "out of turn";
-          }
-          if (t.out.empty() && rests.contains(t.key)) { ASSERT_GE(at, rests[t.key]); }
-        }
-        if (!t.out.empty()) {
-          further.push_back(at);
-          const auto within = [&](const std::vector<TimePoint>& all) {
-            return std::count_if(all.begin(), all.end(), [&](TimePoint p) { return p > at - 2s; });
-          };
-          ASSERT_LE(static_cast<double>(within(further)), 3 + 0.2 * static_cast<double>(within(arrivals)));
-        }
-        if (!doubt) t.first_in_doubt = at;
-        t.out.push_back(true);
-        t.may_have_run.push_back(true);
-      }
-      const auto final_answer = [&](RequestId id) {
-        Taken& t = taken.at(id);
-        ASSERT_FALSE(t.over) << "answered twice";
-        ASSERT_LE(at, t.deadline + s.answer_slack);
-        t.over = true;
-        ++t.answers;
-      };
-      if (const auto* fail = std::get_if<Fail>(&action)) final_answer(fail->request);
-      if (const auto* refuse = std::get_if<Reject>(&action)) {
-        const Taken& t = taken.at(refuse->request);
-        if (t.cls == 1) { ASSERT_EQ(std::count(t.may_have_run.begin(), t.may_have_run.end(), true), 0); }
-        final_answer(refuse->request);
-      }
-    }
-  };
-
-  const auto change_fleet = [&](EngineId id, EngineState state, TimePoint started) {
-    states[id] = state;
-    harness.fleet({engine(id, state, started)}, EndpointUpdate::delta);
-  };
-  for (EngineId id = 1; id <= 4; ++id) change_fleet(id, EngineState::ready, 0s);
-
-  RequestId next = 1;
-  for (int step = 0; step < 4000; ++step) {
-    harness.advance(std::chrono::milliseconds(draw(20)));
-    inspect();
-    if (HasFatalFailure()) return;
-    const unsigned what = draw(100);
-    if (what < 45) {
-      const std::uint32_t cls = draw(3);
-      const Duration client_timeout = std::chrono::milliseconds(1 + draw(4000));
-      const std::uint64_t key = draw(4);
-      taken[next] = {cls, cls == 2 ? key : 0, harness.now() + client_timeout, 0, false, {}, {}, {}};
-      arrivals.push_back(harness.now());
-      if (taken[next].key != 0) lines[key].push_back(next);
-      harness.request(next++, cls, std::chrono::milliseconds(draw(2000)), key, client_timeout);
-    } else if (what < 98) {
-      std::vector<std::pair<RequestId, std::size_t>> out;
-      for (auto& [id, t] : taken) {
-        for (std::size_t i = 0; i < t.out.size(); ++i) {
-          if (t.out[i]) out.emplace_back(id, i);
-        }
-      }
-      if (out.empty()) continue;
-      const auto [id, attempt] = out[draw(static_cast<unsigned>(out.size()))];
-      Taken& t = taken[id];
-      AttemptEnded event;
-      event.request = id;
-      event.attempt = static_cast<std::uint32_t>(attempt);
-      event.result = static_cast<AttemptResult>(draw(10) < 5 ? 0 : draw(8));
-      event.took = 50ms;
-      t.out[attempt] = false;
-      const bool ran = event.result != AttemptResult::rejected &&
-                       event.result != AttemptResult::connect_failed &&
-                       event.result != AttemptResult::not_sent;
-      t.may_have_run[attempt] = ran;
-      if (t.key != 0 && (event.result == AttemptResult::timed_out || event.result == AttemptResult::reset ||
-                         event.result == AttemptResult::cancelled)) {
-        rests[t.key] = harness.now() + s.ordering_settle_time;
-      }
-      if (event.result == AttemptResult::served && !t.over) {
-        t.over = true;
-        ++t.answers;
-      }
-      event.request_over = t.over;
-      harness.handle(event);
-    } else {
-      const EngineId id = 1 + draw(4);
-      const auto state = static_cast<EngineState>(draw(3));
-      change_fleet(id, state, draw(2) == 0 ? Duration{0} : harness.now());
-    }
-    inspect();
-    if (HasFatalFailure()) return;
-  }
-  harness.advance(6s);
-  inspect();
-  for (const auto& [id, t] : taken) ASSERT_EQ(t.answers, 1) << "request " << id;
-  EXPECT_GT(further.size(), 5U);
-}
-
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomDay, ::testing::Range(1U, 13U));
-
 }  // namespace
 }  // namespace paddlestand::test
--- a/tests/decision/workload_manager_test.cpp
+++ b/tests/decision/workload_manager_test.cpp
@@ -1,4 +1,4 @@
-// What the module decides, by scripted events.
+// Decisions of the whole manager, by scripted events.
 #include <gtest/gtest.h>
 
 #include "manager_harness.hpp"
@@ -6,7 +6,7 @@
 namespace paddlestand::test {
 namespace {
 
-TEST(Placement, QueriesSpreadOverTheEngines) {
+TEST(LoadBalancing, RequestsSpreadOverTheEngines) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1; id <= 6; ++id) harness.request(id);
@@ -15,7 +15,7 @@
   EXPECT_EQ(harness.sends_to(3), 2);
 }
 
-TEST(Placement, WithNoEngineARequestIsHeldAndAnsweredInTime) {
+TEST(LoadBalancing, WithNoEngineARequestIsHeldAndAnsweredInTime) {
   ManagerHarness harness(small_site());
   harness.fleet({});
   harness.request(1, 0, 100ms, 0, 2s);
@@ -25,7 +25,7 @@
   EXPECT_EQ(harness.sends(1), 0);
 }
 
-TEST(Placement, AHeldRequestGoesOutWhenAnEngineComes) {
+TEST(LoadBalancing, AHeldRequestIsSentWhenAnEngineBecomesReady) {
   ManagerHarness harness(small_site());
   harness.fleet({});
   harness.request(1);
@@ -34,7 +34,7 @@
   EXPECT_EQ(harness.sends(1), 1);
 }
 
-TEST(ClassBound, UnderPressureHeavyQueriesAreRefusedBeforeLightOnes) {
+TEST(AdmissionBound, UnderPressureHeavyRequestsAreRejectedBeforeLightOnes) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1)});
   for (RequestId id = 1; id <= 40; ++id) harness.request(id, 1, 1s, 0, 15s);
@@ -50,21 +50,21 @@
   EXPECT_LT(light, 10);
 }
 
-// On the platform one key drew a third of the loads: its line filled the class's bound, and nine in ten that
-// were refused had a key of their own that was free, while the engines were idle.
-TEST(ClassBound, ALineBehindOneKeyDoesNotRefuseOtherKeys) {
+// Guards against one key with many requests: its queue filled the class's bound, and requests of free keys
+// were rejected while the engines were idle.
+TEST(AdmissionBound, AQueueBehindOneKeyDoesNotRejectOtherKeys) {
   Settings settings = small_site();
   settings.classes[1].ordered_by_key = true;
   ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2), engine(3), engine(4)});
-  RequestId refused = 0;
-  for (RequestId id = 1; id <= 30 && refused == 0; ++id) {
+  RequestId rejected = 0;
+  for (RequestId id = 1; id <= 30 && rejected == 0; ++id) {
     harness.request(id, 1, 1s, 7, 15s);
-    if (harness.count<Reject>(id) > 0) refused = id;
+    if (harness.count<Reject>(id) > 0) rejected = id;
   }
   EXPECT_EQ(harness.sends(1), 1);
   EXPECT_EQ(harness.sends(2), 0);
-  EXPECT_GT(refused, 2U) << "one key's line is bounded too";
+  EXPECT_GT(rejected, 2U) << "one key's queue is bounded too";
   for (RequestId id = 50; id < 54; ++id) {
     harness.request(id, 1, 1s, id, 15s);
     EXPECT_EQ(harness.sends(id), 1) << id;
@@ -72,9 +72,9 @@
   }
 }
 
-// Bad clients on the platform asked in good form for what no engine knows: each such query failed at three
-// engines within a millisecond, and four of five were shunned for it while all were well.
-TEST(Health, WhatFailsAtEveryEngineSpeaksAgainstNone) {
+// Guards against clients that ask for what no engine knows: each such request fails at three engines within a
+// millisecond, and healthy engines were ejected for it.
+TEST(OutlierDetection, ARequestThatFailsAtEveryEngineCountsAgainstNone) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3), engine(4)});
   for (RequestId id = 1; id <= 12; ++id) {
@@ -89,8 +89,8 @@
   EXPECT_FALSE(harness.logged("shunned"));
 }
 
-// What another engine serves was no fault of the query: the first is judged as ever.
-TEST(Health, AnEngineThatFailsWhatOthersServeIsShunned) {
+// A request that another engine serves is not at fault: its failure counts against the first engine.
+TEST(OutlierDetection, AnEngineThatFailsWhatOthersServeIsEjected) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1; id <= 40 && !harness.logged("shunned"); ++id) {
@@ -104,7 +104,7 @@
   EXPECT_TRUE(harness.logged("engine 2 shunned: failing fast"));
 }
 
-TEST(ClassBound, HeldQueriesLeaveInOrderOfArrival) {
+TEST(AdmissionBound, HeldRequestsAreSentInOrderOfArrival) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1)});
   RequestId last = 40;
@@ -117,7 +117,7 @@
   EXPECT_EQ(harness.sends(next), 1);
 }
 
-TEST(ClassBound, AnIdleClassIsNotShutByASmallBound) {
+TEST(AdmissionBound, AnIdleClassIsNotClosedByASmallBound) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2)});
   harness.request(1, 1, 100ms, 0, 15s);
@@ -127,8 +127,8 @@
   EXPECT_EQ(harness.sends(2), 1);
 }
 
-// Guards against a bound that shuts wholly: light queries must still pass where heavy ones do not.
-TEST(ClassBound, UnderLastingPressureLightQueriesStillPass) {
+// Guards against a bound that closes completely: light requests must be admitted where heavy ones are not.
+TEST(AdmissionBound, UnderLastingPressureLightRequestsAreStillAdmitted) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1)});
   RequestId id = 1;
@@ -152,24 +152,24 @@
 }
 
 // Guards against the black hole: an engine that fails fast looks least loaded.
-TEST(Health, AnEngineThatFailsFastIsAvoidedAndTriedAgain) {
+TEST(OutlierDetection, AnEngineThatFailsFastIsAvoidedAndRetriedLater) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1000; id < 1060; ++id) {
     harness.request(id);
     harness.end(id, AttemptResult::served);
   }
-  const int well = harness.sends_to(1);
+  const int while_healthy = harness.sends_to(1);
   for (RequestId id = 1; id <= 60; ++id) {
     harness.request(id);
     while (harness.count<Reject>(id) + harness.count<Fail>(id) == 0) {
-      const bool bad = harness.engine_of(id) == 1;
-      harness.end(id, bad ? AttemptResult::engine_error : AttemptResult::served);
-      if (!bad) break;
+      const bool is_failing = harness.engine_of(id) == 1;
+      harness.end(id, is_failing ? AttemptResult::engine_error : AttemptResult::served);
+      if (!is_failing) break;
     }
   }
   const int before = harness.sends_to(1);
-  EXPECT_LE(before - well, 4);
+  EXPECT_LE(before - while_healthy, 4);
   harness.advance(40s);
   for (RequestId id = 100; id < 260; ++id) {
     harness.request(id);
@@ -178,40 +178,42 @@
   EXPECT_GT(harness.sends_to(1), before);
 }
 
-// Guards against an engine that takes work and answers nothing: its work is cut and repeated elsewhere.
-std::vector<RequestId> ask_until_three_are_at(ManagerHarness& harness, EngineId engine) {
-  std::vector<RequestId> there;
-  for (RequestId id = 1; there.size() < 3; ++id) {
+// Sends requests until three are in flight at `engine`; returns these.
+std::vector<RequestId> request_until_three_are_at(ManagerHarness& harness, EngineId engine) {
+  std::vector<RequestId> at_engine;
+  for (RequestId id = 1; at_engine.size() < 3; ++id) {
     harness.request(id);
-    if (harness.engine_of(id) == engine) there.push_back(id);
+    if (harness.engine_of(id) == engine) at_engine.push_back(id);
   }
-  return there;
+  return at_engine;
 }
 
 // Two errors in a row eject an engine; those of the process that ran there before it restarted do not.
-TEST(Health, AnEarlierProcessSpeaksNotAgainstTheOneThatRunsNow) {
+TEST(OutlierDetection, FailuresOfAnEarlierProcessDoNotEjectItsSuccessor) {
   for (const bool restarted : {false, true}) {
     ManagerHarness harness(small_site());
     harness.fleet({engine(1), engine(2)});
-    const std::vector<RequestId> at_first = ask_until_three_are_at(harness, 1);
+    const std::vector<RequestId> at_first = request_until_three_are_at(harness, 1);
     if (restarted) harness.fleet({engine(1, EngineState::ready, harness.now())}, EndpointUpdate::delta);
     for (const RequestId id : at_first) harness.end(id, AttemptResult::reset);
     EXPECT_EQ(harness.logged("engine 1 shunned"), !restarted);
   }
 }
 
-// Gone and ready again without a told start: another process, too.
-TEST(Health, AnEngineThatWasGoneIsAnotherProcessWhenItIsReadyAgain) {
+// Removed and ready again without a start time: a new process, too.
+TEST(OutlierDetection, AnEngineThatWasRemovedIsANewProcessWhenItReturns) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2)});
-  const std::vector<RequestId> at_first = ask_until_three_are_at(harness, 1);
+  const std::vector<RequestId> at_first = request_until_three_are_at(harness, 1);
   harness.fleet({engine(1, EngineState::removed)}, EndpointUpdate::delta);
   harness.fleet({engine(1)}, EndpointUpdate::delta);
   for (const RequestId id : at_first) harness.end(id, AttemptResult::reset);
   EXPECT_FALSE(harness.logged("engine 1 shunned"));
 }
 
-TEST(Health, WorkOnASilentEngineIsRepeatedElsewhere) {
+// Guards against an engine that accepts work and answers nothing: its work is cancelled and retried
+// elsewhere.
+TEST(OutlierDetection, WorkOnASilentEngineIsRetriedElsewhere) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3)});
   RequestId id = 1;
@@ -233,7 +235,7 @@
   EXPECT_NE(harness.engine_of(lost), 1U);
 }
 
-TEST(Attempts, WhatNeverRanIsTriedElsewhereAtOnce) {
+TEST(Retries, AnAttemptThatDidNotRunIsRetriedElsewhereAtOnce) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2)});
   harness.request(1);
@@ -270,13 +272,17 @@
 
 TEST(BadInput, AbsurdSettingsStillAnswerOnceAndInTime) {
   for (int variant = 0; variant < 5; ++variant) {
-    Settings s = small_site();
-    if (variant == 0) s = Settings{};
-    if (variant == 1) s.kinds = {{0, 0}};
-    if (variant == 2) s.classes[0].threads = 0;
-    if (variant == 3) s.classes[0].allowed_kinds.emplace();
-    if (variant == 4) s.instances = 0, s.overload_multiple = -1, s.clock_step = 0s;
-    ManagerHarness harness(s);
+    Settings settings = small_site();
+    if (variant == 0) settings = Settings{};
+    if (variant == 1) settings.kinds = {{0, 0}};
+    if (variant == 2) settings.classes[0].threads = 0;
+    if (variant == 3) settings.classes[0].allowed_kinds.emplace();
+    if (variant == 4) {
+      settings.instances = 0;
+      settings.overload_multiple = -1;
+      settings.clock_step = 0s;
+    }
+    ManagerHarness harness(settings);
     harness.fleet({engine(1), engine(2)});
     harness.handle(RequestArrived{1, 0, 9, 7, 1s, Duration{-5}, -1.0, 0.0, false});
     harness.advance(3s);
