--- a/src/core/channel_pool.hpp
+++ b/src/core/channel_pool.hpp
@@ -1,5 +1,5 @@
-// The channels to one engine: bounded in number, idle ones in a stack, so that the least used fall idle for
-// long and are closed.
+/// The channels to one engine: bounded in number. Idle ones form a stack, so that those used least stay idle
+/// until their lifetime ends. Values only; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -10,43 +10,57 @@
 
 namespace paddlestand::core {
 
-class Pool {
+class ChannelPool {
  public:
-  enum class Place : std::uint8_t { reuse, open, none };
+  /// How a query gets a channel: an idle one, a new one, or none at the bound.
+  enum class Placement : std::uint8_t { reuse, open, none };
 
-  // Where a query's bytes could go now; `none` at the bound.
-  [[nodiscard]] Place place(std::uint32_t most) const {
-    if (!idle_.empty()) return Place::reuse;
-    return channels_ < most ? Place::open : Place::none;
+  /// `max_channels`: opening, idle and busy ones.
+  [[nodiscard]] Placement placement(std::uint32_t max_channels) const {
+    if (!idle_.empty()) return Placement::reuse;
+    return channels_ < max_channels ? Placement::open : Placement::none;
   }
-  ChannelId take_idle() {
+
+  /// Removes and returns the channel that became idle last; there must be one.
+  ChannelId pop_idle() {
     const ChannelId channel = idle_.back();
     idle_.pop_back();
     return channel;
   }
-  // Whether the channel may stay; one that may not is to be closed.
-  bool park(ChannelId channel, std::uint32_t most_idle) {
-    if (!ready_ || idle_.size() >= most_idle) return false;
+
+  /// Adds an idle channel. False where it may not stay and must be closed.
+  [[nodiscard]] bool add_idle(ChannelId channel, std::uint32_t max_idle) {
+    if (!ready_ || idle_.size() >= max_idle) return false;
     idle_.push_back(channel);
     return true;
   }
-  void opened() { ++channels_; }
-  void closed(ChannelId channel) {
+
+  void on_opened() { ++channels_; }
+  void on_closed(ChannelId channel) {
     --channels_;
     std::erase(idle_, channel);
   }
+
   [[nodiscard]] const std::vector<ChannelId>& idle() const { return idle_; }
   [[nodiscard]] std::uint32_t channels() const { return channels_; }
 
-  [[nodiscard]] bool ready() const { return ready_; }
+  /// Whether the endpoint list has the engine as ready, and when it started (zero: long ago).
+  [[nodiscard]] bool is_ready() const { return ready_; }
   [[nodiscard]] TimePoint started() const { return started_; }
-  void told(bool ready, TimePoint started) {
-    ready_ = ready;
+  void set_ready(TimePoint started) {
+    ready_ = true;
+    started_ = started;
+  }
+  void set_not_ready() { ready_ = false; }
+  void set_not_ready(TimePoint started) {
+    ready_ = false;
     started_ = started;
   }
 
- private:
+ protected:
   std::vector<ChannelId> idle_;
+
+ private:
   std::uint32_t channels_ = 0;  // opening, idle and busy ones
   bool ready_ = false;
   TimePoint started_{};
--- /dev/null
+++ b/src/core/coordinator_rules.hpp
@@ -0,0 +1,73 @@
+/// The small rules that the query coordinator follows with attempts and channels, each in one place. All are
+/// free of I/O and of state of their own.
+#pragma once
+
+#include <vector>
+
+#include "records.hpp"
+
+namespace paddlestand::core {
+
+struct CoordinatorRules {
+  // ---- Attempts ----
+
+  /// Whether an attempt may be sent: not once part of an earlier attempt's answer went to the client.
+  [[nodiscard]] static bool may_send(const QueryRecord& query) {
+    return !query.state.is(QueryState::streaming);
+  }
+
+  /// Whether the end of an attempt leaves the client with part of an answer, so that no retry can follow.
+  [[nodiscard]] static bool truncates_answer(const QueryRecord& query, AttemptResult result) {
+    return query.state.is(QueryState::streaming) && result != AttemptResult::served;
+  }
+
+  /// Ends the attempt's state and its timeout.
+  static void finish(AttemptRecord& attempt, TimerService& timers) {
+    attempt.state.go(AttemptState::finished, "ended");
+    timers.disarm(attempt.timeout);
+  }
+
+  /// Takes the attempt off a channel that is still opening. The channel may come up and serve another query.
+  static void detach_attempt(ChannelRecord& channel, TimerService&) { channel.query.reset(); }
+
+  // ---- Channels ----
+
+  /// Whether a channel whose answer ended may carry another query: all of the query was sent, no cancel can
+  /// still strike, and the engine holds no state of it.
+  [[nodiscard]] static bool is_reusable(const ChannelRecord& channel, const AnswerEnd& end) {
+    return channel.state.is(ChannelState::busy) && end.reusable;
+  }
+
+  /// From here on the channel is only waited for and then closed.
+  static void mark_cancelling(ChannelRecord& channel) {
+    channel.state.go(ChannelState::cancelling, "module cancels");
+  }
+
+  /// Whether a channel is closed at once when its engine is no longer ready. What has not been sent must not
+  /// be: once its channel is up, the drain grace may be over. What a probe finds out later would be credited
+  /// to the engine's next process.
+  [[nodiscard]] static bool closes_with_engine(const ChannelRecord& channel) {
+    return channel.is_unsent() || channel.use == ChannelUse::probe;
+  }
+
+  /// Whether a channel whose answer ended must be read again first. Its last part may have arrived in one
+  /// read with the end: a channel that is still paused would be paused under the next query.
+  [[nodiscard]] static bool resumes_at_answer_end(const ChannelRecord& channel) { return channel.paused; }
+
+  /// The result of an attempt whose channel was lost.
+  [[nodiscard]] static AttemptResult result_of_loss(const ChannelRecord& channel,
+                                                    const AttemptRecord& attempt, ChannelLossReason reason);
+
+  /// Removes what is still to be sent on the channel in this turn: its attempt counts as one that never ran.
+  static void withdraw_sends(std::vector<HostAction>& actions, ChannelId channel);
+
+  // ---- Dispatching ----
+
+  /// Whether the coordinator gets the result of a write before any event that waits, and before the next
+  /// action of the same turn: else an attempt that may run would pass for one that never did.
+  [[nodiscard]] static bool precedes_pending_events(WriteResult result) {
+    return result == WriteResult::complete;
+  }
+};
+
+}  // namespace paddlestand::core
--- a/src/core/event_dispatcher.cpp
+++ b/src/core/event_dispatcher.cpp
@@ -1,9 +1,19 @@
 #include "event_dispatcher.hpp"
 
-#include "seeded_defects.hpp"
-
 namespace paddlestand::core {
 
+namespace {
+
+CoreEvent event_of(ChannelId channel, WriteResult result) {
+  switch (result) {
+    case WriteResult::failed: return ChannelLost{channel, ChannelLossReason::closed};
+    case WriteResult::suppressed: return ChannelLost{channel, ChannelLossReason::local};
+    default: return QuerySent{channel};
+  }
+}
+
+}  // namespace
+
 EventDispatcher::EventDispatcher(CoreSettings settings, bool watch) : coordinator_(settings) {
   if (watch) monitor_.emplace(settings);
 }
@@ -15,54 +25,50 @@
   while (!pending_events_.empty() && !stopped_) {
     const CoreEvent next = std::move(pending_events_.front());
     pending_events_.pop_front();
-    take(next, host);
+    process(next, host);
   }
   dispatching_ = false;
 }
 
-void EventDispatcher::take(const CoreEvent& event, HostInterface& host) {
+void EventDispatcher::process(const CoreEvent& event, HostInterface& host) {
   host.on_event(event);
   const TimePoint now = host.now();
   if (monitor_) monitor_->on_event(now, event);
-  effects_.clear();
-  coordinator_.handle(now, event, effects_);
-  for (const HostAction& action : effects_) {
+  actions_.clear();
+  coordinator_.handle(now, event, actions_);
+  for (const HostAction& action : actions_) {
     if (monitor_) monitor_->on_action(now, action);
-    if (const auto* query = std::get_if<SendQuery>(&action)) {
-      sent(query->channel, host.send(*query), host);
-    } else if (const auto* probe = std::get_if<SendProbe>(&action)) {
-      sent(probe->channel, host.send(*probe), host);
-    } else {
-      std::visit(
-          [&](const auto& one) {
-            using One = std::decay_t<decltype(one)>;
-            if constexpr (!std::is_same_v<One, SendQuery> && !std::is_same_v<One, SendProbe>)
-              host.execute(one);
-          },
-          action);
-    }
+    execute(action, host);
   }
-  report(host);
+  report_violations(host);
+}
+
+void EventDispatcher::execute(const HostAction& action, HostInterface& host) {
+  std::visit(
+      [&](const auto& one) {
+        using One = std::decay_t<decltype(one)>;
+        if constexpr (std::is_same_v<One, SendQuery> || std::is_same_v<One, SendProbe>) {
+          on_written(one.channel, host.send(one), host);
+        } else {
+          host.execute(one);
+        }
+      },
+      action);
 }
 
-void EventDispatcher::sent(ChannelId channel, WriteResult how, HostInterface& host) {
-  if (how == WriteResult::partial) return;
-  CoreEvent event = QuerySent{channel};
-  const bool lost = how == WriteResult::failed || how == WriteResult::suppressed;
-  if (lost)
-    event = ChannelLost{channel,
-                        how == WriteResult::failed ? ChannelLossReason::closed : ChannelLossReason::local};
-  if (lost || seeded(Defect::sent_told_behind_others)) {
+void EventDispatcher::on_written(ChannelId channel, WriteResult result, HostInterface& host) {
+  if (result == WriteResult::partial) return;
+  CoreEvent event = event_of(channel, result);
+  if (!parts::Rules::precedes_pending_events(result)) {
     pending_events_.push_back(std::move(event));
     return;
   }
-  // Not only first in the line: before a further effect of the same turn, too, since it may tell something.
   if (monitor_) monitor_->on_event(host.now(), event);
-  std::vector<HostAction> none;
-  coordinator_.handle(host.now(), event, none);
+  std::vector<HostAction> no_actions;
+  coordinator_.handle(host.now(), event, no_actions);
 }
 
-void EventDispatcher::report(HostInterface& host) {
+void EventDispatcher::report_violations(HostInterface& host) {
   if (!monitor_) return;
   for (const InvariantViolation& violation : monitor_->violations()) host.on_violation(violation);
   monitor_->violations().clear();
--- a/src/core/event_dispatcher.hpp
+++ b/src/core/event_dispatcher.hpp
@@ -1,9 +1,9 @@
-// Takes events one after another and has what follows from each carried out before the next is taken. What is
-// told meanwhile waits its turn, except for one thing: whether a query's last byte was handed over is known
-// to the query coordinator before anything else is, or an attempt that may run would pass for one that never
-// did.
-//
-// No I/O, no clock: `HostInterface` are the host's. Not thread-safe.
+/// Processes events one at a time: the actions that follow from one are executed before the next is
+/// processed. Events that arrive meanwhile wait, except for one kind: that a query's last byte was handed
+/// over reaches the query coordinator before anything else, or an attempt that may run would pass for one
+/// that never did.
+///
+/// No I/O and no clock: HostInterface provides both. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -11,23 +11,28 @@
 
 #include "invariant_monitor.hpp"
 #include "query_coordinator.hpp"
+#ifdef PADDLESTAND_SEEDED_DEFECTS
+#include "seeded_coordinator.hpp"
+#endif
 
 namespace paddlestand::core {
 
-enum class WriteResult : std::uint8_t {
-  complete,  // the socket took the last byte
-  partial,  // QuerySent or ChannelLost is told later
-  failed,  // nothing, or not all, was handed over, and the channel is gone
-  suppressed,  // nothing was handed over, and nothing may be: no fault of the channel
-};
+namespace parts {
+#ifdef PADDLESTAND_SEEDED_DEFECTS
+using Coordinator = SeededCoordinator;
+#else
+using Coordinator = QueryCoordinator;
+#endif
+}  // namespace parts
 
-// A host's. All but `execute` may be left as they are. It may call EventDispatcher::tell while it carries
-// out.
+/// What a host provides: the clock, and the execution of actions. It may call EventDispatcher::dispatch while
+/// it executes one.
 class HostInterface {
  public:
   virtual ~HostInterface() = default;
   [[nodiscard]] virtual TimePoint now() = 0;
-  virtual void on_event(const CoreEvent&) {}  // just before the query coordinator gets it
+  /// Called just before the query coordinator gets the event.
+  virtual void on_event(const CoreEvent&) {}
   virtual WriteResult send(const SendQuery& action) = 0;
   virtual WriteResult send(const SendProbe& action) = 0;
   virtual void execute(const OpenChannel& action) = 0;
@@ -41,8 +46,8 @@
   virtual void execute(const Answer& action) = 0;
   virtual void execute(const LogMessage& action) = 0;
   virtual void execute(const ShutdownComplete& action) = 0;
-  virtual void on_violation(
-      const InvariantViolation& violation) = 0;  // the manager broke a invariant of its own
+  /// The manager broke one of its own invariants.
+  virtual void on_violation(const InvariantViolation& violation) = 0;
 
  protected:
   HostInterface() = default;
@@ -52,16 +57,17 @@
 
 class EventDispatcher {
  public:
-  // `watch`: what is told and done is held against the invariants (docs/invariants.md).
+  /// `watch`: whether events and actions are checked against the invariants (docs/invariants.md).
   EventDispatcher(CoreSettings settings, bool watch);
 
-  // Takes an event now, or after those that wait.
+  /// Processes an event now, or after those that wait.
   void dispatch(CoreEvent event, HostInterface& host);
-  // Whether an event is being taken, so that a further one would wait.
+  /// Whether an event is being processed, so that a further one would wait.
   [[nodiscard]] bool is_dispatching() const { return dispatching_; }
-  // From here on nothing is taken any more.
+  /// From here on events are ignored.
   void stop() { stopped_ = true; }
 
+  /// When the next TimerExpired is due, if any.
   [[nodiscard]] std::optional<TimePoint> due() const { return coordinator_.due(); }
   [[nodiscard]] Counts counts() const { return coordinator_.counts(); }
   [[nodiscard]] const QueryCoordinator& coordinator() const { return coordinator_; }
@@ -70,16 +76,17 @@
   void visit(StateVisitor& visitor);
 
  private:
-  void take(const CoreEvent& event, HostInterface& host);
-  void sent(ChannelId channel, WriteResult how, HostInterface& host);
-  void report(HostInterface& host);
+  void process(const CoreEvent& event, HostInterface& host);
+  void execute(const HostAction& action, HostInterface& host);
+  void on_written(ChannelId channel, WriteResult result, HostInterface& host);
+  void report_violations(HostInterface& host);
 
-  QueryCoordinator coordinator_;
+  parts::Coordinator coordinator_;
   std::optional<InvariantMonitor> monitor_;
-  std::vector<HostAction> effects_;  // of the present turn; kept for its room
-  std::deque<CoreEvent>
-      pending_events_;  // bounded by what one event can cause: a few for each of its effects
-  bool dispatching_ = false, stopped_ = false;
+  std::vector<HostAction> actions_;  // of the event being processed; a member to reuse its memory
+  std::deque<CoreEvent> pending_events_;  // bounded: a few for each action that follows from one event
+  bool dispatching_ = false;
+  bool stopped_ = false;
 };
 
 }  // namespace paddlestand::core
--- a/src/core/query_coordinator.hpp
+++ b/src/core/query_coordinator.hpp
@@ -1,56 +1,82 @@
-// The query coordinator: events to the decision module, its actions out as effects. It owns one
-// WorkloadManager, the ledger of queries and attempts, and the pools of channels. It never decides admission,
-// routing, repeats or refusals; it keeps what was decided true on the way: one final answer, no bytes behind
-// it, no reuse of a channel that a cancel could still strike, nothing sent to an engine that was told to
-// drain while its channel opened.
-//
-// A copy would do the same from there on, and shares nothing that changes: so the explorer branches.
-//
-// Not thread-safe: one host thread owns it. Events of channels that were closed are passed over, since a
-// host's completions may cross with CloseChannel; every other event that makes no sense throws
-// IllegalTransition.
+/// The query coordinator: host events go in, become events of the decision module, and the module's actions
+/// come out as host actions. It owns one WorkloadManager, the records of sessions, queries, attempts and
+/// channels, and the channel pools. It never decides admission, routing, retries or rejections. It ensures
+/// what must hold while decisions are executed: one final answer for each query, no bytes after it, no reuse
+/// of a channel that a cancel could still strike, nothing sent to an engine that began to drain while its
+/// channel opened.
+///
+/// A copy behaves the same from there on and shares nothing that changes: the explorer branches by copying.
+///
+/// Not thread-safe: one host thread owns it. Events of channels that were closed are ignored, since a host's
+/// completions may cross with CloseChannel; every other event that makes no sense throws IllegalTransition.
+///
+/// The members are defined by concern: query_coordinator.cpp (entry points, sessions, the module's events),
+/// coordinator_attempts.cpp, coordinator_channels.cpp, coordinator_endpoints.cpp, coordinator_answers.cpp,
+/// coordinator_timers.cpp (timers and graceful shutdown), coordinator_state.cpp (counts, checks, state
+/// visitor).
 #pragma once
 
 #include <deque>
 #include <map>
 #include <memory>
-#include <set>
 #include <unordered_map>
 
-#include "channel_pool.hpp"
+#include "coordinator_parts.hpp"
 #include "records.hpp"
-#include "timer_queue.hpp"
+#include "timer_service.hpp"
 #include "types.hpp"
 
 namespace paddlestand::core {
 
+class StateWalk;
+
+/// The sizes of what the coordinator holds.
 struct Counts {
-  std::size_t sessions = 0, queries_open = 0, attempts_out = 0;
-  std::size_t channels = 0, channels_idle = 0, channels_probing = 0;
+  std::size_t sessions = 0;
+  std::size_t queries_open = 0;  ///< without a final answer
+  std::size_t attempts_out = 0;
+  std::size_t channels = 0;
+  std::size_t channels_idle = 0;
+  std::size_t channels_probing = 0;
   std::size_t bytes_buffered = 0;
-  std::size_t timers = 0, own_timers = 0;  // all; those that are not the module's
+  std::size_t timers = 0;
+  std::size_t own_timers = 0;  ///< without the module's
 };
 
 class QueryCoordinator {
  public:
   explicit QueryCoordinator(CoreSettings settings);
 
-  // Takes one event and appends what follows from it. `now` never goes back.
+  /// Processes one event and appends the actions that follow from it. `now` must never go back.
   void handle(TimePoint now, const CoreEvent& event, std::vector<HostAction>& actions);
 
-  // When TimerExpired is wanted next, if at all.
-  [[nodiscard]] std::optional<TimePoint> due() const;
+  /// When the next TimerExpired is due, if any.
+  [[nodiscard]] std::optional<TimePoint> due() const { return timers_.next_due(); }
 
-  [[nodiscard]] TimePoint now() const { return now_; }  // of the last event
+  /// The time of the last event.
+  [[nodiscard]] TimePoint now() const { return now_; }
   [[nodiscard]] Counts counts() const;
 
-  // Throws where the ledger contradicts itself: for tests, the explorer and builds with assertions.
+  /// Throws IllegalTransition where the records contradict each other: for tests, the explorer and builds
+  /// with assertions.
   void check() const;
 
-  // All that its future hangs on, but for its settings, as of its last event.
+  /// Visits everything that its future depends on, except its settings, as of its last event.
   void visit(StateVisitor& visitor);
 
  private:
+  /// Its life. While draining it rejects new queries; when finished it holds none.
+  enum class Lifecycle : std::uint8_t { running, draining, finished };
+
+  /// What a final answer says, besides the account of the query.
+  struct Outcome {
+    AnswerKind kind{};
+    RetrySafety retry_safety = RetrySafety::unknown;
+    Duration retry_after{};  ///< zero: no advice
+    bool shutting_down = false;
+  };
+
+  // ---- Host events ----
   void on(const SessionOpened& event);
   void on(const SessionClosed& event);
   void on(const QueryArrived& event);
@@ -66,9 +92,9 @@
   void on(const BeginShutdown& event);
   void on(const TimerExpired& event);
 
-  // The module's side.
+  // ---- The decision module ----
   void notify_module(const Event& event);
-  void drain();
+  void process_module_events();
   void apply(const Send& action);
   void apply(const Cancel& action);
   void apply(const Reject& action);
@@ -80,54 +106,92 @@
   void apply(const SendGossip& action);
   void apply(const Log& action);
 
-  // Attempts.
-  void start_on(ChannelId id, ChannelRecord& channel, QueryRecord& query, std::uint32_t attempt);
-  void cancel(QueryRecord& query, std::uint32_t attempt);
-  void timeout(QueryRecord& query, std::uint32_t attempt);
-  void end(QueryRecord& query, std::uint32_t attempt, AttemptResult result, const AnswerEnd* told = nullptr);
-
-  // Links.
-  ChannelId open(EngineId engine, ChannelUse use, QueryId query = 0);
-  void close(ChannelId id);
-  void park(ChannelId id, ChannelRecord& channel);
+  // ---- Attempts ----
+  void reuse_channel(QueryRecord& query, std::uint32_t attempt_index, parts::Pool& pool);
+  void open_channel_for(QueryRecord& query, std::uint32_t attempt_index);
+  void send_attempt(ChannelId id, ChannelRecord& channel, QueryRecord& query, std::uint32_t attempt_index);
+  void cancel_attempt(QueryRecord& query, std::uint32_t attempt_index);
+  void cancel_on_engine(AttemptRecord& attempt);
+  void time_out_attempt(QueryRecord& query, std::uint32_t attempt_index);
+  /// Ends an attempt that is not being answered: before it was sent, or while it is being sent.
+  void end_unsent_attempt(QueryRecord& query, std::uint32_t attempt_index, AttemptResult result);
+  /// Gives an attempt its one result and notifies the module once. The caller closes its channel or returns
+  /// it to the pool. `end`: the engine's report, if any. May remove the query's record.
+  void end_attempt(QueryRecord& query, std::uint32_t attempt_index, AttemptResult result,
+                   const AnswerEnd* end = nullptr);
+
+  // ---- Channels ----
+  ChannelId open_channel(EngineId engine, ChannelUse use, QueryId query = 0);
+  void close_channel(ChannelId id);
+  /// Returns a channel to its pool, or closes it where the pool is full or its engine not ready.
+  void return_to_pool(ChannelId id, ChannelRecord& channel);
   void mark_sent(ChannelRecord& channel);
-  void discard(ChannelId id, ChannelRecord& channel);
-  void end_probe(ChannelId id, AttemptResult result, const AnswerEnd* told);
-  void engine_not_ready(EngineId engine);
+  void end_probe(ChannelId id, AttemptResult result, const LoadReport& report = {});
+  void resume_if_paused(ChannelId id, ChannelRecord& channel);
+  void pause_if_full(ChannelId id, ChannelRecord& channel, const SessionRecord& session);
 
-  // Answers.
+  // ---- Endpoints ----
+  void update_pool(const EngineEntry& entry);
+  void remove_missing_engines(const std::vector<EngineEntry>& entries);
+  void close_channels_of(EngineId engine);
+
+  // ---- Answers ----
+  void receive_bytes(ChannelRecord& channel, std::size_t bytes);
   void deliver(ChannelId id, ChannelRecord& channel, QueryRecord& query);
-  void rest_if_full(ChannelId id, ChannelRecord& channel, const SessionRecord& session);
-  void answer(QueryRecord& query, AnswerKind kind, RetrySafety retry_safety, Duration retry_after = {},
-              bool leaving = false);
-  void never_goes_out(ChannelId id);
-  void forget_if_done(QueryId id);
-  void leave_if_done();
+  void discard(ChannelId id, ChannelRecord& channel);
+  [[nodiscard]] AttemptResult result_of_end(const AnswerEnd& event, const QueryRecord& query,
+                                            const AttemptRecord& attempt) const;
+  /// The one place where a query gets its final answer. May remove the query's record.
+  void finish_query(QueryRecord& query, const Outcome& outcome);
+  [[nodiscard]] Answer make_answer(const QueryRecord& query, const Outcome& outcome) const;
+  void discard_active_attempts(QueryRecord& query);
+  void remove_query_if_done(QueryId id);
+
+  // ---- Timers and graceful shutdown ----
+  void on_timer(const ModuleTimer& timer);
   void on_timer(const Timer& timer);
+  void end_shutdown_grace();
+  void finish_shutdown_if_idle();
+
+  // ---- Consistency checks ----
+  void check_sessions() const;
+  void check_queries() const;
+  void check_attempt(const QueryRecord& query, std::size_t attempt_index) const;
+  void check_channels() const;
+  void check_channel(ChannelId id, const ChannelRecord& channel) const;
+  void check_pools() const;
+  void check_totals() const;
+
+  // ---- State visitor ----
+  void visit_channels(const StateWalk& fields);
+  void visit_pools(const StateWalk& fields);
+  void visit_sessions(const StateWalk& fields);
+  void visit_queries(const StateWalk& fields);
+  void visit_timers(const StateWalk& fields);
 
   QueryRecord* find_query(QueryId id);
   ChannelRecord* find_channel(ChannelId id);
-  void act(HostAction action) { out_->push_back(std::move(action)); }
+  void emit(HostAction action) { host_actions_->push_back(std::move(action)); }
 
-  std::shared_ptr<const CoreSettings> settings_;  // never changed: copies have them together
-  WorkloadManager module_;
-  TimePoint now_{}, module_notified_at_{};  // the last event; the module's last
-  std::vector<HostAction>* out_ = nullptr;
+  std::shared_ptr<const CoreSettings> settings_;  // never changes: copies share it
+  parts::DecisionModule module_;
+  TimePoint now_{};
+  TimePoint module_notified_at_{};
+  std::vector<HostAction>* host_actions_ = nullptr;  // valid during handle()
 
-  std::deque<Event> module_events_;  // to the module, in order; empty between two events of the host
-  bool draining_ = false;
-  std::vector<Action> actions_;
+  std::deque<Event> module_events_;  // in order; empty between two host events
+  bool processing_module_events_ = false;
+  std::vector<Action> module_actions_;
 
   std::unordered_map<SessionId, SessionRecord> sessions_;
   std::unordered_map<QueryId, QueryRecord> queries_;
   std::unordered_map<ChannelId, ChannelRecord> channels_;
-  std::map<EngineId, Pool> pools_;
-  TimerQueue timers_;
-  std::set<std::pair<TimePoint, std::uint32_t>> module_timers_;
+  std::map<EngineId, parts::Pool> pools_;
+  TimerService timers_;
+  parts::Buffers buffers_;
   ChannelId last_channel_ = 0;
-  std::size_t buffered_ = 0;  // kept for channels or not taken by clients
-  std::size_t open_queries_ = 0;
-  bool leaving_ = false, left_ = false;
+  std::size_t unanswered_queries_ = 0;
+  Lifecycle lifecycle_ = Lifecycle::running;
 };
 
 }  // namespace paddlestand::core
--- a/src/core/records.hpp
+++ b/src/core/records.hpp
@@ -1,46 +1,45 @@
-// What is known of sessions, queries, their attempts, and channels. Values only; the query coordinator moves
-// them.
+/// The coordinator's records of sessions, queries, attempts and channels. Values only: the query coordinator
+/// changes them.
 #pragma once
 
+#include <algorithm>
 #include <optional>
-#include <unordered_map>
 #include <vector>
 
-#include "seeded_defects.hpp"
 #include "state_machines.hpp"
-#include "timer_queue.hpp"
+#include "timer_service.hpp"
 #include "types.hpp"
 
 namespace paddlestand::core {
 
+/// One attempt of a query at an engine.
 struct AttemptRecord {
   AttemptRecord(EngineId at, std::uint64_t query, TimePoint now)
-      : engine(at), began(now), state("attempt of query", query, AttemptState::connecting) {}
+      : engine(at), started_at(now), state("attempt of query", query, AttemptState::connecting) {}
 
   EngineId engine;
-  TimePoint began;
+  TimePoint started_at;
   Machine<AttemptState> state;
   std::optional<ChannelId> channel;
-  std::optional<TimerQueue::Handle> timeout;
+  std::optional<TimerService::Handle> timeout;
   std::optional<AttemptResult> result;
-  Duration took{};
-  bool spoiled = false;  // part of its answer was thrown away: its end can't be served any more
-  bool timed_out = false;  // it is cancelled for that reason
+  Duration duration{};  ///< valid once there is a result
+  bool answer_discarded = false;  ///< part of its answer was: it can't be served any more
+  bool timed_out = false;  ///< it is being cancelled for that reason
 
-  [[nodiscard]] bool out() const { return !state.is(AttemptState::finished); }
-  // How it ended where its cancel was what ended it.
+  [[nodiscard]] bool is_active() const { return !state.is(AttemptState::finished); }
+  /// The result where the cancel ended it.
   [[nodiscard]] AttemptResult cancel_result() const {
-    if (!timed_out) return AttemptResult::cancelled;
-    return seeded(Defect::time_out_told_as_never_ran) ? AttemptResult::connect_failed
-                                                      : AttemptResult::timed_out;
+    return timed_out ? AttemptResult::timed_out : AttemptResult::cancelled;
   }
-  // What a result means for the effect, in the words of the module's interface.
-  [[nodiscard]] bool never_ran() const {
+  /// Whether it has ended and certainly did not run on its engine.
+  [[nodiscard]] bool had_no_effect() const {
     return result && (*result == AttemptResult::rejected || *result == AttemptResult::connect_failed ||
                       *result == AttemptResult::not_sent);
   }
 };
 
+/// A client's query with its attempts. It is removed once it has its final answer and no active attempt.
 struct QueryRecord {
   QueryRecord(QueryId query, SessionId from, TimePoint now)
       : id(query), session(from), arrived(now), state("query", query, QueryState::open) {}
@@ -53,13 +52,17 @@
   std::uint8_t priority = 0;
   double memory_mb = 0;
   Machine<QueryState> state;
-  std::vector<AttemptRecord> attempts;  // bounded by the module's max_attempts
+  std::vector<AttemptRecord> attempts;  ///< bounded by the module's max_attempts
 
-  [[nodiscard]] bool over() const { return state.is(QueryState::finished); }
-  [[nodiscard]] bool any_out() const {
-    for (const AttemptRecord& a : attempts)
-      if (a.out()) return true;
-    return false;
+  [[nodiscard]] bool is_finished() const { return state.is(QueryState::finished); }
+  [[nodiscard]] bool has_active_attempt() const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const AttemptRecord& attempt) { return attempt.is_active(); });
+  }
+  /// Whether each of its attempts ended without having run: a repeat is safe.
+  [[nodiscard]] bool had_no_effect() const {
+    return std::all_of(attempts.begin(), attempts.end(),
+                       [](const AttemptRecord& attempt) { return attempt.had_no_effect(); });
   }
 };
 
@@ -67,23 +70,28 @@
   explicit SessionRecord(SessionId session) : state("session", session, SessionState::idle) {}
 
   Machine<SessionState> state;
-  QueryId query = 0;  // valid while asking
-  std::size_t undelivered_bytes = 0;  // delivered, not taken by the client yet
+  QueryId query = 0;  ///< valid while active
+  std::size_t undelivered_bytes = 0;  ///< delivered, not consumed by the client yet
 };
 
 struct ChannelRecord {
   ChannelRecord(ChannelId channel, EngineId to, ChannelUse what, TimePoint now)
-      : engine(to), use(what), opened(now), state("link", channel, ChannelState::opening) {}
+      : engine(to), use(what), opened_at(now), state("link", channel, ChannelState::opening) {}
 
   EngineId engine;
   ChannelUse use;
-  TimePoint opened;
+  TimePoint opened_at;
   Machine<ChannelState> state;
-  std::optional<QueryId> query;  // whose attempt it carries, or will once it is up
-  std::uint32_t attempt = 0;
-  std::size_t kept = 0;  // bytes of an answer that the host keeps for it
+  std::optional<QueryId> query;  ///< whose attempt it carries, or will once it is up
+  std::uint32_t attempt_index = 0;
+  std::size_t buffered_bytes = 0;  ///< of an answer; the host holds them
   bool paused = false;
-  std::optional<TimerQueue::Handle> timer;  // connect, idle, cancel grace or probe, by state
+  std::optional<TimerService::Handle> timer;  ///< connect, idle, cancel grace or probe, by state
+
+  /// Whether nothing can have run on the engine through it yet.
+  [[nodiscard]] bool is_unsent() const {
+    return state.is(ChannelState::opening) || state.is(ChannelState::sending);
+  }
 };
 
 }  // namespace paddlestand::core
--- a/src/core/state_walk.hpp
+++ b/src/core/state_walk.hpp
@@ -1,14 +1,14 @@
-// Helps the core's records to be walked over by a StateVisitor. Their times are told relative to now, so
-// that none loses a nanosecond on the way through a double.
+/// Helps to visit the core's records with a StateVisitor. Times are passed relative to now, so that none
+/// loses a nanosecond on the way through a double.
 #pragma once
 
-#include <concepts>
 #include <type_traits>
 
 #include "types.hpp"
 
 namespace paddlestand::core {
 
+/// The kinds of ids, in the core's terms.
 struct Name {
   static constexpr auto engine = StateVisitor::Name::engine;
   static constexpr auto query = StateVisitor::Name::request;
@@ -16,13 +16,15 @@
   static constexpr auto channel = StateVisitor::Name::channel;
 };
 
+/// Passes values to a visitor, which must outlive it. What each function means to the visitor: StateVisitor.
 class StateWalk {
  public:
-  StateWalk(StateVisitor& visitor, TimePoint now) : v_(visitor), now_(now) {
+  StateWalk(StateVisitor& visitor, TimePoint now) : visitor_(visitor), now_(now) {
     double zero = 0;
-    v_.clock(zero);
+    visitor_.clock(zero);
   }
 
+  /// Integers, booleans and enums.
   template <typename... T>
   void wholes(const T&... values) const {
     (whole(values), ...);
@@ -35,45 +37,59 @@
     } else {
       raw = static_cast<std::uint64_t>(value);
     }
-    v_.whole(raw);
+    visitor_.whole(raw);
   }
-  void number(double value) const { v_.number(value); }
+  void number(double value) const { visitor_.number(value); }
   void since(TimePoint at) const {
-    double relative = static_cast<double>((at - now_).count()) * 1e-9;
-    v_.since(relative);
+    double relative = seconds_from_now(at);
+    visitor_.since(relative);
   }
   void until(TimePoint at) const {
-    double relative = static_cast<double>((at - now_).count()) * 1e-9;
-    v_.until(relative);
+    double relative = seconds_from_now(at);
+    visitor_.until(relative);
   }
   void counted(TimePoint at) const {
-    double relative = static_cast<double>((at - now_).count()) * 1e-9;
-    v_.counted(relative);
+    double relative = seconds_from_now(at);
+    visitor_.counted(relative);
   }
-  void name(StateVisitor::Name kind, std::uint64_t id) const { v_.name(kind, id); }
+  void name(StateVisitor::Name kind, std::uint64_t id) const { visitor_.name(kind, id); }
 
-  template <typename Map, typename Each>
-  void table(Map& all, Each each) const {
-    v_.table(all.size(), false);
-    for (auto& [key, one] : all) v_.entry(), each(key, one);
-    v_.end();
+  /// Calls `visit(key, value)` for each entry of a map; their order does not matter.
+  template <typename Map, typename Visit>
+  void table(Map& entries, Visit visit) const {
+    visitor_.table(entries.size(), false);
+    for (auto& [key, value] : entries) {
+      visitor_.entry();
+      visit(key, value);
+    }
+    visitor_.end();
   }
-  // In no order that matters.
-  template <typename List, typename Each>
-  void set(List& all, Each each) const {
-    v_.table(all.size(), false);
-    for (auto&& one : all) v_.entry(), each(one);
-    v_.end();
+  /// Calls `visit(value)` for each value; their order does not matter.
+  template <typename List, typename Visit>
+  void set(List& values, Visit visit) const {
+    list_as(values, visit, false);
   }
-  template <typename List, typename Each>
-  void list(List& all, Each each) const {
-    v_.table(all.size(), true);
-    for (auto&& one : all) v_.entry(), each(one);
-    v_.end();
+  /// Calls `visit(value)` for each value; their order matters.
+  template <typename List, typename Visit>
+  void list(List& values, Visit visit) const {
+    list_as(values, visit, true);
   }
 
  private:
-  StateVisitor& v_;
+  template <typename List, typename Visit>
+  void list_as(List& values, Visit& visit, bool in_order) const {
+    visitor_.table(values.size(), in_order);
+    for (auto&& value : values) {
+      visitor_.entry();
+      visit(value);
+    }
+    visitor_.end();
+  }
+  [[nodiscard]] double seconds_from_now(TimePoint at) const {
+    return static_cast<double>((at - now_).count()) * 1e-9;
+  }
+
+  StateVisitor& visitor_;
   TimePoint now_;
 };
 
--- a/src/core/timer_queue.hpp
+++ b/src/core/timer_queue.hpp
@@ -1,4 +1,4 @@
-// Times at which something is due, each of which can be taken back. Equal times fall due in the order armed.
+/// A queue of timers that can be disarmed. Equal times fall due in the order in which they were armed.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,13 @@
 
 namespace paddlestand::core {
 
-enum class TimerUse : std::uint8_t { attempt_timeout, cancel_grace, connect, probe, idle_channel, leave };
+enum class TimerUse : std::uint8_t { attempt_timeout, cancel_grace, connect, probe, idle_channel, shutdown };
 
+/// What to do when a timer falls due.
 struct Timer {
   TimerUse use{};
-  std::uint64_t subject{};  // a channel, or a query
-  std::uint32_t attempt{};
+  std::uint64_t subject{};  ///< the channel; for `attempt_timeout` the query
+  std::uint32_t attempt_index{};
 };
 
 class TimerQueue {
@@ -23,34 +24,41 @@
   using Handle = std::pair<TimePoint, std::uint64_t>;
 
   Handle arm(TimePoint at, Timer timer) {
-    const Handle handle{at, ++armed_};
+    const Handle handle{at, ++last_sequence_number_};
     queue_.emplace(handle, timer);
     return handle;
   }
+
+  /// Removes the timer, if it is armed, and clears the handle.
   void disarm(std::optional<Handle>& handle) {
     if (handle) queue_.erase(*handle);
     handle.reset();
   }
-  [[nodiscard]] std::optional<TimePoint> due() const {
+
+  [[nodiscard]] std::optional<TimePoint> next_due() const {
     if (queue_.empty()) return std::nullopt;
     return queue_.begin()->first.first;
   }
-  std::optional<Timer> take_due(TimePoint now) {
+
+  /// Removes and returns the first timer that is due at `now`.
+  std::optional<Timer> pop_due(TimePoint now) {
     if (queue_.empty() || queue_.begin()->first.first > now) return std::nullopt;
     const Timer timer = queue_.begin()->second;
     queue_.erase(queue_.begin());
     return timer;
   }
+
   [[nodiscard]] std::size_t size() const { return queue_.size(); }
-  // In the order in which they fall due.
-  template <typename Each>
-  void each(Each each) const {
-    for (const auto& [handle, timer] : queue_) each(handle.first, timer);
+
+  /// Calls `visit(due, timer)` for each timer, in the order in which they fall due.
+  template <typename Visit>
+  void for_each(Visit visit) const {
+    for (const auto& [handle, timer] : queue_) visit(handle.first, timer);
   }
 
  private:
   std::map<Handle, Timer> queue_;
-  std::uint64_t armed_ = 0;
+  std::uint64_t last_sequence_number_ = 0;
 };
 
 }  // namespace paddlestand::core
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -1,6 +1,7 @@
-// The words of the core: what hosts tell the query coordinator (events) and what they carry out for it
-// (effects). No I/O, no clock, no protocol: a session is a client's seat, a channel one connection to an
-// engine, and the bytes of queries and answers stay with the host, named by the ids below.
+/// The core's interface to its hosts: the events that a host reports to the query coordinator, and the
+/// actions that the host executes for it. No I/O, no clock, no protocol. A session is one client connection,
+/// a channel a lane to an engine that carries one query at a time; the bytes of queries and answers stay with
+/// the host, named by the ids below.
 #pragma once
 
 #include <cstddef>
@@ -16,27 +17,27 @@
 
 namespace paddlestand::core {
 
-using SessionId = std::uint64_t;  // given by the host, never used twice
-using QueryId = RequestId;  // given by the host, never used twice
-using ChannelId = std::uint64_t;  // given by the query coordinator, never used twice
+using SessionId = std::uint64_t;  ///< given by the host, never used twice
+using QueryId = RequestId;  ///< given by the host, never used twice
+using ChannelId = std::uint64_t;  ///< given by the query coordinator, never used twice
 
 enum class ChannelUse : std::uint8_t { query, probe };
 
-// How an engine's answer ended, in words that every protocol can be put into. What a channel's loss means is
-// not among them: that hangs on how far the query had got, which the query coordinator knows.
+/// How an engine's answer ended, in terms that fit every protocol. What the loss of a channel means is not
+/// among them: it depends on how far the query had got, which the query coordinator knows.
 enum class Ending : std::uint8_t {
-  complete,  // the whole answer came; an error that the statement itself deserved is one too
-  engine_error,  // the engine failed it; it may have run
-  full,  // turned away before it ran
-  expired,  // its time was over before the engine began: it never ran
-  cancelled,  // the engine says that it stopped it
+  complete,  ///< the complete answer arrived, which may be an error that the statement itself caused
+  engine_error,  ///< the engine failed it; it may have run
+  full,  ///< rejected before it ran
+  expired,  ///< its deadline passed before the engine began: it never ran
+  cancelled,  ///< the engine says that it stopped it
 };
 
-// Why a channel is gone. `local`: trouble of this manager, which speaks against no engine.
+/// Why a channel was lost. `local`: a fault of this manager or its machine, which speaks against no engine.
 enum class ChannelLossReason : std::uint8_t { refused, timed_out, closed, protocol_error, local };
 
 enum class AnswerKind : std::uint8_t { served, rejected, failed, cancelled };
-// What a client may conclude about repeating what was not served.
+/// What a client may conclude about retrying what was not served.
 enum class RetrySafety : std::uint8_t { safe, unknown };
 
 // ---- Events ----
@@ -44,7 +45,8 @@
 struct SessionOpened {
   SessionId session{};
 };
-struct SessionClosed {  // the client is gone: nothing can be told to it any more
+/// The client disconnected: nothing can be sent to it any more.
+struct SessionClosed {
   SessionId session{};
 };
 struct QueryArrived {
@@ -52,14 +54,15 @@
   QueryId query{};
   std::uint32_t class_index{};
   std::uint32_t tenant{};
-  std::uint64_t ordering_key{};  // zero: none
+  std::uint64_t ordering_key{};  ///< zero: none
   Duration client_timeout{};
   std::optional<Duration> estimated_cost;
-  double estimated_memory_mb{};  // zero: not told
+  double estimated_memory_mb{};  ///< zero: unknown
   double tables{};
   bool repeated{};
 };
-struct ClientCancelled {  // by the client, for whatever the session has under way
+/// The client cancels whatever its session has active.
+struct ClientCancelled {
   SessionId session{};
 };
 struct ChannelOpened {
@@ -69,18 +72,21 @@
   ChannelId channel{};
   ChannelLossReason why{};
 };
-struct QuerySent {  // its bytes were wholly handed to the socket
+/// The socket accepted the query's last byte.
+struct QuerySent {
   ChannelId channel{};
 };
-struct AnswerPart {  // bytes of an answer, kept by the host until told to deliver or to discard them
+/// Bytes of an answer arrived. The host buffers them until a Deliver or Discard.
+struct AnswerPart {
   ChannelId channel{};
   std::size_t bytes{};
 };
-struct AnswerEnd {  // the engine is ready for another query on this channel
+/// An answer ended: the engine is ready for another query on this channel.
+struct AnswerEnd {
   ChannelId channel{};
   Ending ending{};
-  std::size_t bytes{};  // of the answer, not told by an AnswerPart yet
-  bool reusable = true;  // the engine holds no state of this query's, such as a transaction left open
+  std::size_t bytes{};  ///< of the answer, not reported by an AnswerPart yet
+  bool reusable = true;  ///< the engine holds no state of this query, such as an open transaction
   std::optional<Duration> work;
   std::optional<double> memory_mb;
   LoadReport report;
@@ -90,7 +96,8 @@
   ProgressKind kind{};
   double level{};
 };
-struct ClientConsumed {  // so much of what was delivered left for the client
+/// The client consumed `bytes` of what was delivered to it.
+struct ClientConsumed {
   SessionId session{};
   std::size_t bytes{};
 };
@@ -98,50 +105,58 @@
   EndpointUpdate scope{};
   std::vector<EngineEntry> engines;
 };
-struct BeginShutdown {  // take no more, answer what is held, within the grace
+/// Graceful shutdown: reject new queries, and answer those held within the grace.
+struct BeginShutdown {
   Duration grace{};
 };
-struct TimerExpired {};  // due() has passed
+/// QueryCoordinator::due() has passed.
+struct TimerExpired {};
 
 using CoreEvent = std::variant<SessionOpened, SessionClosed, QueryArrived, ClientCancelled, ChannelOpened,
                                ChannelLost, QuerySent, AnswerPart, AnswerEnd, EngineProgress, ClientConsumed,
                                EndpointsUpdated, BeginShutdown, TimerExpired>;
 
-// ---- Effects ----
+// ---- Actions ----
 
 struct OpenChannel {
   ChannelId channel{};
   EngineId engine{};
   ChannelUse use{};
-  QueryId query{};  // it is opened for; zero: a probe
+  QueryId query{};  ///< that it is opened for; zero: a probe
 };
-struct SendQuery {  // on a channel that is up
+/// Send a query on a channel that is up.
+struct SendQuery {
   ChannelId channel{};
   QueryId query{};
   std::uint32_t attempt{};
   std::uint8_t priority{};
-  double memory_mb{};  // zero: the engine's choice
+  double memory_mb{};  ///< zero: the engine's choice
 };
 struct SendProbe {
   ChannelId channel{};
 };
-struct CancelOnEngine {  // on a connection of its own; the channel is never used again
+/// Cancel the query on the engine, over a separate connection. The channel is never used again.
+struct CancelOnEngine {
   ChannelId channel{};
 };
-struct UpdateResourceGrant {  // of a query that runs, on a connection of its own
+/// Change the grant of a query that runs, over a separate connection.
+struct UpdateResourceGrant {
   ChannelId channel{};
   std::uint8_t priority{};
   double memory_mb{};
 };
-struct CloseChannel {  // bytes kept for it are dropped; nothing is told of it any more
+/// Close a channel. Bytes buffered for it are dropped, and no event of it follows.
+struct CloseChannel {
   ChannelId channel{};
 };
-struct Deliver {  // all bytes kept for the channel go to the client, in order, behind what went before
+/// Send all bytes buffered for the channel to the client, in order, after those sent before.
+struct Deliver {
   ChannelId channel{};
   SessionId session{};
   std::size_t bytes{};
 };
-struct Discard {  // all bytes kept for the channel
+/// Drop all bytes buffered for the channel.
+struct Discard {
   ChannelId channel{};
 };
 struct PauseChannel {
@@ -153,45 +168,58 @@
 
 struct AttemptAccount {
   EngineId engine{};
-  std::optional<AttemptResult> result;  // none: still out
-  Duration began{};  // since the query came
-  Duration took{};  // until it ended, or until now
+  std::optional<AttemptResult> result;  ///< none: still active
+  Duration began{};  ///< since the query arrived
+  Duration took{};  ///< until it ended, or until now
 };
-struct Answer {  // the final one; after it nothing more goes to the client for this query
+/// The final answer: nothing more is sent to the client for this query.
+struct Answer {
   SessionId session{};
   QueryId query{};
   AnswerKind kind{};
   RetrySafety retry_safety{};
-  bool deadline_exceeded{};  // it could not be answered within the client's client timeout
-  bool begun{};  // part of the answer went to the client before
-  bool shutting_down{};  // the manager is going
-  Duration retry_after{};  // zero: no advice
+  bool deadline_exceeded{};  ///< it could not be answered within the client timeout
+  bool begun{};  ///< part of the answer was delivered before
+  bool shutting_down{};  ///< the manager is shutting down
+  Duration retry_after{};  ///< zero: no advice
   // For the log.
   std::uint32_t class_index{};
   Duration took{};
   std::vector<AttemptAccount> attempts;
 };
-struct LogMessage {  // a judgment of the module
+/// A message of the decision module for the log.
+struct LogMessage {
   std::string text;
 };
-struct ShutdownComplete {};  // nothing is held any more: the host may go
+/// The graceful shutdown is complete: no query is held, and the host may stop.
+struct ShutdownComplete {};
 
 using HostAction =
     std::variant<OpenChannel, SendQuery, SendProbe, CancelOnEngine, UpdateResourceGrant, CloseChannel,
                  Deliver, Discard, PauseChannel, ResumeChannel, Answer, LogMessage, ShutdownComplete>;
 
+/// What became of the bytes of a SendQuery or SendProbe when the host wrote them.
+enum class WriteResult : std::uint8_t {
+  complete,  ///< the socket accepted the last byte
+  partial,  ///< QuerySent or ChannelLost follows later
+  failed,  ///< nothing, or not all, was handed over, and the channel is lost
+  suppressed,  ///< nothing was handed over, and nothing may be: no fault of the channel
+};
+
+/// Settings of the core; `module` holds those of the decision module.
 struct CoreSettings {
   Settings module;
-  std::uint32_t channels_per_engine = 64;  // those for queries, opening ones too
-  std::uint32_t idle_channels_per_engine = 16;  // kept open while nothing runs on them
+  std::uint32_t channels_per_engine = 64;  ///< for queries, including opening ones
+  std::uint32_t idle_channels_per_engine = 16;  ///< kept open while unused
   Duration idle_channel_lifetime{};
   Duration connect_timeout{};
   Duration probe_timeout{};
-  Duration cancel_grace{};  // how long an engine may take to say that it stopped
-  std::size_t answer_buffer = 64 * 1024;  // an answer up to this size is repeated elsewhere unseen
-  std::size_t client_window = 256 * 1024;  // delivered but not yet taken by the client: its channel rests
-  std::size_t buffers_in_total =
-      64 * 1024 * 1024;  // over all sessions; past it every channel may hold one part
+  Duration cancel_grace{};  ///< how long an engine may take to confirm a cancel
+  std::size_t answer_buffer =
+      64 * 1024;  ///< bytes; an answer up to this size can be retried unseen by the client
+  std::size_t client_window = 256 * 1024;  ///< bytes delivered but not consumed beyond which a channel pauses
+  /// Bytes over all sessions; beyond it every channel may still hold one part.
+  std::size_t buffers_in_total = 64 * 1024 * 1024;
 };
 
 }  // namespace paddlestand::core
