--- a/src/core/classify.cpp
+++ b/src/core/classify.cpp
@@ -1,6 +1,7 @@
 #include "classify.hpp"
 
 #include <algorithm>
+#include <array>
 #include <boost/regex.hpp>
 #include <charconv>
 #include <cmath>
@@ -8,23 +9,34 @@
 namespace paddlestand::core {
 namespace {
 
-constexpr std::size_t most_sought = 4096;  // bytes of a statement that patterns are sought in
+constexpr std::size_t max_searched_bytes = 4096;  // of a statement
+constexpr std::size_t max_quoted_tag_bytes = 64;  // of an unknown tag's name, in the text for the client
+constexpr unsigned table_group_shift = 12;  // a double holds 52 bits exactly
+constexpr double nanoseconds_per_millisecond = 1e6;
 
-std::optional<double> number(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
   double value = 0;
-  const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (problem != std::errc{} || end != text.data() + text.size() || !std::isfinite(value))
-    return std::nullopt;
+  const char* const text_end = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), text_end, value);
+  if (error != std::errc{} || end != text_end || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-std::optional<std::uint32_t> place_of(const std::vector<std::string>& names, std::string_view name) {
+std::optional<Duration> parse_milliseconds(std::string_view text, Duration max) {
+  const auto value = parse_number(text);
+  if (!value || *value < 0) return std::nullopt;
+  const double nanoseconds = *value * nanoseconds_per_millisecond;
+  if (nanoseconds > static_cast<double>(max.count())) return std::nullopt;
+  return Duration{std::llround(nanoseconds)};
+}
+
+std::optional<std::uint32_t> index_of(const std::vector<std::string>& names, std::string_view name) {
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) return std::nullopt;
   return static_cast<std::uint32_t>(found - names.begin());
 }
 
-std::string list(const std::vector<std::string>& names) {
+std::string joined(const std::vector<std::string>& names) {
   std::string out;
   for (const std::string& name : names) out += (out.empty() ? "" : ", ") + name;
   return out;
@@ -32,21 +44,31 @@
 
 }  // namespace
 
+std::uint64_t key_of(std::string_view text) {
+  constexpr std::uint64_t fnv1a_offset_basis = 0xcbf29ce484222325U;
+  constexpr std::uint64_t fnv1a_prime = 0x100000001b3U;
+  std::uint64_t hash = fnv1a_offset_basis;
+  for (const char byte : text) hash = (hash ^ static_cast<std::uint8_t>(byte)) * fnv1a_prime;
+  return hash == 0 ? 1 : hash;
+}
+
+// ---- Rules ----
+
 struct Classifier::Rule {
-  ClassRule given;
+  ClassRule settings;
   std::optional<std::uint32_t> class_index, tenant;
   std::optional<boost::regex> pattern;
 
   [[nodiscard]] bool matches(const RequestFacts& facts) const {
-    if (!given.user.empty() && given.user != facts.user) return false;
-    if (!given.database.empty() && given.database != facts.database) return false;
-    if (!given.application.empty() && given.application != facts.application) return false;
+    if (!settings.user.empty() && settings.user != facts.user) return false;
+    if (!settings.database.empty() && settings.database != facts.database) return false;
+    if (!settings.application.empty() && settings.application != facts.application) return false;
     if (!pattern) return true;
-    const std::string_view text = facts.statement.substr(0, most_sought);
+    const std::string_view text = facts.statement.substr(0, max_searched_bytes);
     try {
       return boost::regex_search(text.begin(), text.end(), *pattern);
     } catch (const std::runtime_error&) {
-      return false;  // the pattern took too many steps on this text: it says nothing of it
+      return false;  // the search took too many steps on this text
     }
   }
 };
@@ -61,96 +83,138 @@
     deadlines_.push_back(one.deadline);
   }
   for (const TenantSettings& one : module.tenants) tenants_.push_back(one.name);
-  const auto complain = [this](const std::string& text) {
-    if (problem_.empty()) problem_ = text;
-  };
-  if (!place_of(classes_, settings_.class_otherwise))
-    complain("the class of what no rule speaks of, '" + settings_.class_otherwise +
-             "', is not among: " + list(classes_));
-  if (!settings_.tenant_otherwise.empty() && !place_of(tenants_, settings_.tenant_otherwise))
-    complain("tenant '" + settings_.tenant_otherwise + "' is not among: " + list(tenants_));
-  for (const ClassRule& given : settings_.rules) {
-    Rule rule{given, place_of(classes_, given.class_name), place_of(tenants_, given.tenant), {}};
-    if (!given.class_name.empty() && !rule.class_index)
-      complain("a rule names class '" + given.class_name + "'; wanted one of: " + list(classes_));
-    if (!given.tenant.empty() && !rule.tenant)
-      complain("a rule names tenant '" + given.tenant + "'; wanted one of: " + list(tenants_));
-    if (!given.statement.empty()) {
-      try {
-        rule.pattern.emplace(given.statement, boost::regex::perl | boost::regex::icase);
-      } catch (const boost::regex_error& error) {
-        complain("the pattern '" + given.statement + "' is no regular expression: " + error.what());
-      }
+  if (!index_of(classes_, settings_.class_otherwise))
+    report("the class of what no rule speaks of, '" + settings_.class_otherwise +
+           "', is not among: " + joined(classes_));
+  if (!settings_.tenant_otherwise.empty() && !index_of(tenants_, settings_.tenant_otherwise))
+    report("tenant '" + settings_.tenant_otherwise + "' is not among: " + joined(tenants_));
+  for (const ClassRule& rule : settings_.rules) add_rule(rule);
+}
+
+void Classifier::add_rule(const ClassRule& settings) {
+  Rule rule{settings, index_of(classes_, settings.class_name), index_of(tenants_, settings.tenant), {}};
+  if (!settings.class_name.empty() && !rule.class_index)
+    report("a rule names class '" + settings.class_name + "'; wanted one of: " + joined(classes_));
+  if (!settings.tenant.empty() && !rule.tenant)
+    report("a rule names tenant '" + settings.tenant + "'; wanted one of: " + joined(tenants_));
+  if (!settings.statement.empty()) {
+    try {
+      rule.pattern.emplace(settings.statement, boost::regex::perl | boost::regex::icase);
+    } catch (const boost::regex_error& error) {
+      report("the pattern '" + settings.statement + "' is no regular expression: " + error.what());
     }
-    rules_.push_back(std::move(rule));
   }
+  rules_.push_back(std::move(rule));
 }
 
-std::uint64_t key_of(std::string_view text) {
-  std::uint64_t hash = 0xcbf29ce484222325U;  // FNV-1a: stable over builds and machines
-  for (const char c : text) hash = (hash ^ static_cast<std::uint8_t>(c)) * 0x100000001b3U;
-  return hash == 0 ? 1 : hash;
+void Classifier::report(const std::string& problem) {
+  if (problem_.empty()) problem_ = problem;
 }
 
-std::variant<QueryArrived, Problem> Classifier::classify(const RequestFacts& facts) const {
-  QueryArrived out;
+// ---- Tags ----
+
+/// Reads the tags of one request.
+class Classifier::TagParser {
+ public:
+  explicit TagParser(const Classifier& classifier) : classifier_(classifier) {}
+
+  /// What is wrong with the tag, if anything.
+  std::optional<Problem> parse(const std::string& name, const std::string& value) {
+    struct Tag {
+      std::string_view name;
+      std::optional<Problem> (TagParser::*parse)(const std::string& value);
+    };
+    static constexpr std::array<Tag, 8> tags{{{"class", &TagParser::parse_class},
+                                              {"tenant", &TagParser::parse_tenant},
+                                              {"cost_ms", &TagParser::parse_cost},
+                                              {"deadline_ms", &TagParser::parse_deadline},
+                                              {"memory_mb", &TagParser::parse_memory},
+                                              {"key", &TagParser::parse_key},
+                                              {"tables", &TagParser::parse_tables},
+                                              {"repeat", &TagParser::parse_repeat}}};
+    const auto* tag =
+        std::find_if(tags.begin(), tags.end(), [&](const Tag& one) { return one.name == name; });
+    if (tag != tags.end()) return (this->*tag->parse)(value);
+    if (!classifier_.settings_.refuse_unknown_tags) return std::nullopt;
+    return Problem{"unknown tag '" + name.substr(0, max_quoted_tag_bytes) +
+                   "'; wanted: class, tenant, cost_ms, deadline_ms, memory_mb, key, tables, repeat"};
+  }
+
+  QueryArrived query;  ///< without class, tenant and timeout
   std::optional<std::uint32_t> class_index, tenant;
   std::optional<Duration> client_timeout;
-  const auto milliseconds = [](std::string_view text, Duration most) -> std::optional<Duration> {
-    const auto value = number(text);
-    if (!value || *value < 0 || *value * 1e6 > static_cast<double>(most.count())) return std::nullopt;
-    return Duration{std::llround(*value * 1e6)};
-  };
-  for (const auto& [name, value] : facts.tags) {
-    if (name == "class") {
-      class_index = place_of(classes_, value);
-      if (!class_index) return Problem{"unknown class '" + value + "'; wanted one of: " + list(classes_)};
-    } else if (name == "tenant") {
-      tenant = place_of(tenants_, value);
-      if (!tenant) return Problem{"unknown tenant '" + value + "'; wanted one of: " + list(tenants_)};
-    } else if (name == "cost_ms") {
-      out.estimated_cost = milliseconds(value, settings_.most_cost);
-      if (!out.estimated_cost)
-        return Problem{"cost_ms='" + value + "'; wanted: milliseconds from 0 to a day's"};
-    } else if (name == "deadline_ms") {
-      client_timeout = milliseconds(value, settings_.max_client_timeout);
-      if (!client_timeout || client_timeout->count() == 0)
-        return Problem{"deadline_ms='" + value + "'; wanted: milliseconds, more than 0, an hour's at most"};
-    } else if (name == "memory_mb") {
-      const auto mb = number(value);
-      if (!mb || *mb < 0 || *mb > settings_.most_memory_mb)
-        return Problem{"memory_mb='" + value + "'; wanted: megabytes from 0 to " +
-                       std::to_string(static_cast<long>(settings_.most_memory_mb))};
-      out.estimated_memory_mb = *mb;
-    } else if (name == "key") {
-      if (!value.empty()) out.ordering_key = key_of(value);
-    } else if (name == "tables") {
-      // As many groups as a double tells apart.
-      out.tables = static_cast<double>(key_of(value) >> 12U);
-    } else if (name == "repeat") {
-      if (value != "0" && value != "1") return Problem{"repeat='" + value + "'; wanted: 0 or 1"};
-      out.repeated = value == "1";
-    } else if (settings_.refuse_unknown_tags) {
-      return Problem{"unknown tag '" + name.substr(0, 64) +
-                     "'; wanted: class, tenant, cost_ms, deadline_ms, memory_mb, key, tables, repeat"};
-    }
+
+ private:
+  std::optional<Problem> parse_class(const std::string& value) {
+    class_index = index_of(classifier_.classes_, value);
+    if (class_index) return std::nullopt;
+    return Problem{"unknown class '" + value + "'; wanted one of: " + joined(classifier_.classes_)};
   }
-  for (const Rule& rule : rules_) {
-    if (class_index && tenant) break;
-    if (!rule.matches(facts)) continue;
-    if (!class_index) class_index = rule.class_index;
-    if (!tenant) tenant = rule.tenant;
-    break;
+  std::optional<Problem> parse_tenant(const std::string& value) {
+    tenant = index_of(classifier_.tenants_, value);
+    if (tenant) return std::nullopt;
+    return Problem{"unknown tenant '" + value + "'; wanted one of: " + joined(classifier_.tenants_)};
   }
-  if (!class_index) class_index = place_of(classes_, settings_.class_otherwise);
-  if (!tenant) tenant = place_of(tenants_, settings_.tenant_otherwise);
-  out.class_index = class_index.value_or(0);
-  // Beyond the last tenant: none, so no quota of any.
-  out.tenant = tenant.value_or(static_cast<std::uint32_t>(tenants_.size()));
-  out.client_timeout = deadlines_[out.class_index];
-  if (facts.timeout) out.client_timeout = std::min(*facts.timeout, settings_.max_client_timeout);
-  if (client_timeout) out.client_timeout = *client_timeout;
-  return out;
+  std::optional<Problem> parse_cost(const std::string& value) {
+    query.estimated_cost = parse_milliseconds(value, classifier_.settings_.most_cost);
+    if (query.estimated_cost) return std::nullopt;
+    return Problem{"cost_ms='" + value + "'; wanted: milliseconds from 0 to a day's"};
+  }
+  std::optional<Problem> parse_deadline(const std::string& value) {
+    client_timeout = parse_milliseconds(value, classifier_.settings_.max_client_timeout);
+    if (client_timeout && client_timeout->count() > 0) return std::nullopt;
+    return Problem{"deadline_ms='" + value + "'; wanted: milliseconds, more than 0, an hour's at most"};
+  }
+  std::optional<Problem> parse_memory(const std::string& value) {
+    const double max = classifier_.settings_.most_memory_mb;
+    const auto megabytes = parse_number(value);
+    if (!megabytes || *megabytes < 0 || *megabytes > max)
+      return Problem{"memory_mb='" + value + "'; wanted: megabytes from 0 to " +
+                     std::to_string(static_cast<long>(max))};
+    query.estimated_memory_mb = *megabytes;
+    return std::nullopt;
+  }
+  std::optional<Problem> parse_key(const std::string& value) {
+    if (!value.empty()) query.ordering_key = key_of(value);
+    return std::nullopt;
+  }
+  std::optional<Problem> parse_tables(const std::string& value) {
+    query.tables = static_cast<double>(key_of(value) >> table_group_shift);
+    return std::nullopt;
+  }
+  std::optional<Problem> parse_repeat(const std::string& value) {
+    if (value != "0" && value != "1") return Problem{"repeat='" + value + "'; wanted: 0 or 1"};
+    query.repeated = value == "1";
+    return std::nullopt;
+  }
+
+  const Classifier& classifier_;
+};
+
+// ---- Requests ----
+
+void Classifier::apply_rules(const RequestFacts& facts, TagParser& tags) const {
+  const auto rule =
+      std::find_if(rules_.begin(), rules_.end(), [&](const Rule& one) { return one.matches(facts); });
+  if (rule == rules_.end()) return;
+  if (!tags.class_index) tags.class_index = rule->class_index;
+  if (!tags.tenant) tags.tenant = rule->tenant;
+}
+
+std::variant<QueryArrived, Problem> Classifier::classify(const RequestFacts& facts) const {
+  TagParser tags(*this);
+  for (const auto& [name, value] : facts.tags)
+    if (auto problem = tags.parse(name, value)) return *problem;
+  if (!tags.class_index || !tags.tenant) apply_rules(facts, tags);
+  QueryArrived query = tags.query;
+  query.class_index = tags.class_index.value_or(index_of(classes_, settings_.class_otherwise).value_or(0));
+  // The index after the last tenant stands for none: no quota applies.
+  const auto no_tenant = static_cast<std::uint32_t>(tenants_.size());
+  query.tenant = tags.tenant.value_or(index_of(tenants_, settings_.tenant_otherwise).value_or(no_tenant));
+  query.client_timeout = deadlines_[query.class_index];
+  if (facts.timeout) query.client_timeout = std::min(*facts.timeout, settings_.max_client_timeout);
+  if (tags.client_timeout) query.client_timeout = *tags.client_timeout;
+  return query;
 }
 
 }  // namespace paddlestand::core
--- a/src/core/classify.hpp
+++ b/src/core/classify.hpp
@@ -1,5 +1,5 @@
-// What a request is, from what a client told of it: tags first, then the rules of the configuration, then the
-// class of what nothing speaks of. Free of I/O and of any protocol; the same for every front door.
+/// Classifies requests by what a client sent with them: first its tags, then the rules of the configuration,
+/// then the default class and tenant. No I/O and no protocol: the same for every front end.
 #pragma once
 
 #include <memory>
@@ -14,58 +14,68 @@
 
 namespace paddlestand::core {
 
-// All that is given must match; the first rule that does decides.
+/// A rule matches where all of its conditions do; the first rule that matches decides.
 struct ClassRule {
-  std::string user, database, application;  // empty: any
-  std::string statement;  // a regular expression sought in the statement's first part; empty: any
-  std::string class_name;  // empty: this rule names none
-  std::string tenant;
+  std::string user, database, application;  ///< empty: any
+  std::string statement;  ///< a regular expression searched for in the statement's first part; empty: any
+  std::string class_name;  ///< empty: the rule sets none
+  std::string tenant;  ///< empty: the rule sets none
 };
 
 struct ClassifierSettings {
   std::vector<ClassRule> rules;
-  std::string class_otherwise;
-  std::string tenant_otherwise;  // empty: none
+  std::string class_otherwise;  ///< of requests that neither tags nor rules classify
+  std::string tenant_otherwise;  ///< likewise; empty: none
   Duration max_client_timeout = std::chrono::hours(1);
   Duration most_cost = std::chrono::hours(24);
   double most_memory_mb = 16.0 * 1024 * 1024;
   bool refuse_unknown_tags = false;
 };
 
+/// What is known of a request before it is classified.
 struct RequestFacts {
   std::string_view user, database, application, statement;
   std::vector<std::pair<std::string, std::string>> tags;
-  std::optional<Duration> timeout;  // the session's own
+  std::optional<Duration> timeout;  ///< of the session
 };
 
+/// What the client got wrong, in a text for it.
 struct Problem {
   std::string text;
 };
 
 class Classifier {
  public:
-  // What is wrong with the rules, if anything, is in problem(); it classes nothing then.
+  /// Errors in the rules are reported by problem(); such a classifier must not be used.
   Classifier(ClassifierSettings settings, const Settings& module);
   ~Classifier();
   Classifier(Classifier&&) noexcept;
   Classifier& operator=(Classifier&&) noexcept;
 
+  /// The first error in the rules; empty: none.
   [[nodiscard]] const std::string& problem() const { return problem_; }
 
-  // All but the session's and the query's ids, or what the client got wrong.
+  /// The request without the ids of its session and query, or what the client got wrong.
   [[nodiscard]] std::variant<QueryArrived, Problem> classify(const RequestFacts& facts) const;
 
  private:
   struct Rule;
+  class TagParser;
+
+  void add_rule(const ClassRule& settings);
+  void report(const std::string& problem);
+  /// Sets what the tags left open from the first rule that matches.
+  void apply_rules(const RequestFacts& facts, TagParser& tags) const;
 
   ClassifierSettings settings_;
   std::vector<std::string> classes_, tenants_;
-  std::vector<Duration> deadlines_;
+  std::vector<Duration> deadlines_;  // by class
   std::vector<Rule> rules_;
   std::string problem_;
 };
 
-// Order keys and table groups are told as text and go on as numbers; a key is never zero.
-std::uint64_t key_of(std::string_view text);
+/// The number of an ordering key or table group that is given as text; never zero. Stable over builds and
+/// machines.
+[[nodiscard]] std::uint64_t key_of(std::string_view text);
 
 }  // namespace paddlestand::core
--- a/src/core/connection_policy.cpp
+++ b/src/core/connection_policy.cpp
@@ -6,7 +6,8 @@
 namespace paddlestand::core {
 namespace {
 
-// A client that was read so recently has not been gone for longer than attempts may begin after its end.
+/// A client that was read this recently can't have been disconnected for longer than attempts may start after
+/// it.
 constexpr Duration client_read_validity = std::chrono::milliseconds(20);
 
 bool is_shortage(int error_number) {
@@ -22,7 +23,8 @@
 
 bool would_block(int error_number) { return error_number == EAGAIN || error_number == EWOULDBLOCK; }
 
-// accept(2): errors that were pending on the new connection are told here, and mean nothing for the listener.
+/// accept(2): errors that were pending on the new connection are reported here and mean nothing for the
+/// listener.
 CallVerdict verdict_of_accept(int error_number) {
   switch (error_number) {
     case EBADF:
@@ -46,11 +48,11 @@
   }
 }
 
-// bind(2), listen(2): an address is in use until the process that had it is gone for good, and not there
-// until its interface is up.
-CallVerdict verdict_of_binding(int error_number) {
-  const bool may_pass = error_number == EADDRINUSE || error_number == EADDRNOTAVAIL;
-  return may_pass ? CallVerdict::retry_later : CallVerdict::ended;
+/// bind(2), listen(2): an address is in use until the process that had it has ended, and not available until
+/// its interface is up.
+CallVerdict verdict_of_bind(int error_number) {
+  const bool is_momentary = error_number == EADDRINUSE || error_number == EADDRNOTAVAIL;
+  return is_momentary ? CallVerdict::retry_later : CallVerdict::ended;
 }
 
 }  // namespace
@@ -63,7 +65,7 @@
   switch (call) {
     case SystemCall::accept: return verdict_of_accept(error_number);
     case SystemCall::bind:
-    case SystemCall::listen: return verdict_of_binding(error_number);
+    case SystemCall::listen: return verdict_of_bind(error_number);
     case SystemCall::open_file:
     case SystemCall::read_file: return error_number == EIO ? CallVerdict::retry_later : CallVerdict::ended;
     default: return CallVerdict::ended;
--- a/src/core/connection_policy.hpp
+++ b/src/core/connection_policy.hpp
@@ -1,9 +1,7 @@
-/// What may be done with a connection, a listener or a request now, decided in one place: whether a failed
-/// system call is to be repeated or has ended something, whether an attempt may begin, whether a connection
-/// may be closed. No I/O, no clock: hosts bring the facts and carry the decision out.
-///
-/// Incident 28 (docs/incidents/028-momentary-call-failures.md): a call that failed for a moment was taken for
-/// the end of what it was called on, by each caller for itself.
+/// Decides what to do with a connection, a listener or a request: whether a failed system call is retried or
+/// has ended what it was called on, whether an attempt may start, whether a connection may be closed. No I/O,
+/// no clock: hosts provide the facts and execute the decision. One place for all callers, or each would
+/// mistake another momentary failure for the end of a connection.
 #pragma once
 
 #include <array>
@@ -33,39 +31,40 @@
 };
 
 enum class CallVerdict : std::uint8_t {
-  retry_now,  ///< interrupted, or it says nothing about the next call
+  retry_now,  ///< interrupted, or the error says nothing about the next call
   wait_until_ready,  ///< would block
-  retry_later,  ///< this machine is short of something, or has no route, for a moment
-  refused,  ///< connect: the peer was reached, or is known not to be; nothing was handed over
-  ended  ///< the object it was called on is of no further use
+  retry_later,  ///< a momentary shortage of this machine, or no route
+  refused,  ///< connect: the peer answered, or is known to be unreachable; nothing was sent
+  ended  ///< the object that it was called on is of no further use
 };
 
-/// What the errors that Linux documents for a call mean for what it was called on (accept(2), connect(2),
-/// recv(2), send(2), socket(2), bind(2), tcp(7), epoll_ctl(2)). `error_number` is an errno.
-CallVerdict verdict_of(SystemCall call, int error_number);
+/// What an error that Linux documents for a call means for the object that it was called on (accept(2),
+/// connect(2), recv(2), send(2), socket(2), bind(2), tcp(7), epoll_ctl(2)). `error_number` is an errno.
+[[nodiscard]] CallVerdict verdict_of(SystemCall call, int error_number);
 
 // ---- Attempts ----
 
 struct DispatchFacts {
-  bool client_present = false;  ///< its connection is open, and it took the request back in no way known here
-  Duration since_client_was_read{};  ///< since its connection was last read until nothing was left
-  Duration time_left{};  ///< of its client timeout
-  bool just_read = false;  ///< for this decision, though perhaps not to its end: it goes on sending
+  bool client_present = false;  ///< its connection is open, and it has not cancelled the request
+  Duration since_client_was_read{};  ///< since its connection was last read until it had no more
+  Duration time_left{};  ///< of the client timeout
+  bool just_read = false;  ///< for this decision, though perhaps not completely: it goes on sending
 };
 
 enum class DispatchDecision : std::uint8_t {
   dispatch,
-  read_client_first,  ///< it may have gone meanwhile: read its connection, then ask again
+  read_client_first,  ///< it may have disconnected: read its connection, then decide again
   client_gone,
   time_is_up
 };
 
-/// May the first byte of an attempt leave now?
-DispatchDecision may_dispatch(const DispatchFacts& facts);
+/// Whether the first byte of an attempt may be sent now.
+[[nodiscard]] DispatchDecision may_dispatch(const DispatchFacts& facts);
 
-/// An engine's deadline is made when its frame is made; a frame that has waited for longer is made anew.
+/// An attempt's deadline is encoded in its frame: a frame that has waited longer than this is encoded anew.
 inline constexpr Duration longest_frame_wait = std::chrono::milliseconds(20);
-/// A frame of which part went out and the rest does not follow would begin later than it says: it must not.
+/// A frame that is sent in part and not completed within this time is given up: its attempt would start later
+/// than its deadline assumes.
 inline constexpr Duration longest_partial_frame = std::chrono::milliseconds(100);
 
 // ---- Client connections ----
@@ -73,32 +72,34 @@
 struct CloseFacts {
   std::size_t open_requests = 0;
   std::size_t unsent_bytes = 0;
-  bool input_is_read = false;  ///< nothing is known to be unread; a look that failed is no such knowledge
-  bool inside_message = false;  ///< part of a message is here
+  bool input_is_read = false;  ///< all input was read; false where a read failed
+  bool inside_message = false;  ///< part of a message arrived
 };
 
 enum class CloseDecision : std::uint8_t { close, owes_answers, has_unsent_answers, has_unread_input };
 
-/// May this side end a client's connection now, where the client did nothing wrong?
-CloseDecision may_close(const CloseFacts& facts);
+/// Whether this side may close a client's connection now, where the client did nothing wrong.
+[[nodiscard]] CloseDecision may_close(const CloseFacts& facts);
 
 // ---- Run-time check ----
 
-/// What must never happen, counted where it would, by whoever does it.
+/// What must never happen. Counted by the code that would do it.
 enum class Violation : std::uint8_t {
   begun_after_client_left,
   deadline_beyond_client,
   closed_with_open_requests,
-  second_attempt_out,  ///< an attempt was to go out while the engine may have another one of its request
-  stream_id_used_twice,  ///< a stream was to be opened under an id that its connection has carried
+  second_attempt_out,  ///< an attempt was to be sent while an engine may still have another one of its
+                       ///< request
+  stream_id_used_twice,  ///< a stream was to be opened with an id that its connection has already carried
   count
 };
 
-std::string_view name_of(Violation violation);
+/// The violation's name in logs and reports.
+[[nodiscard]] std::string_view name_of(Violation violation);
 
 class ViolationCounter {
  public:
-  /// Counts, and says whether it is the first of its kind.
+  /// Counts the violation and returns whether it is the first of its kind.
   bool add(Violation violation);
   [[nodiscard]] std::uint64_t count(Violation violation) const;
   [[nodiscard]] std::uint64_t total() const;
--- a/src/core/engine_starts.cpp
+++ b/src/core/engine_starts.cpp
@@ -5,11 +5,11 @@
 namespace paddlestand::core {
 namespace {
 
-// Kept for engines that leave the list and come back with the start that they had; beyond that, the oldest
-// go.
-constexpr std::size_t most_remembered = 16384;
+/// Starts are remembered for engines that are removed from the list and listed again with the same start;
+/// beyond this many, only those of listed engines.
+constexpr std::size_t max_remembered = 16384;
 
-// Zero means "long ago" to the module.
+/// Zero means "long ago" to the decision module.
 TimePoint never_zero(TimePoint at) { return std::max(at, TimePoint{1}); }
 
 }  // namespace
@@ -21,21 +21,21 @@
     for (const auto& [id, start] : starts_) newest = std::max(newest, start.since_1970);
   for (EngineEntry& entry : entries) {
     if (entry.started.count() <= 0) continue;
-    const auto [place, fresh] = starts_.try_emplace(entry.engine);
+    const auto [place, is_new] = starts_.try_emplace(entry.engine);
     Start& start = place->second;
-    if (fresh || start.since_1970 != entry.started) {
+    if (is_new || start.since_1970 != entry.started) {
       start.since_1970 = entry.started;
       start.at = never_zero(first_list_ ? now - (newest - entry.started) : now);
     }
-    start.seen = now;
+    start.last_listed = now;
     entry.started = start.at;
   }
-  forget_old(now);
+  remove_unlisted(now);
 }
 
-void EngineStarts::forget_old(TimePoint now) {
-  if (starts_.size() <= most_remembered) return;
-  std::erase_if(starts_, [now](const auto& one) { return one.second.seen < now; });
+void EngineStarts::remove_unlisted(TimePoint now) {
+  if (starts_.size() <= max_remembered) return;
+  std::erase_if(starts_, [now](const auto& one) { return one.second.last_listed < now; });
 }
 
 }  // namespace paddlestand::core
--- a/src/core/state_machines.cpp
+++ b/src/core/state_machines.cpp
@@ -3,14 +3,14 @@
 namespace paddlestand::core {
 namespace {
 
-constexpr std::array session_moves{
+constexpr std::array session_transitions{
     std::pair{SessionState::idle, SessionState::active},
     std::pair{SessionState::active, SessionState::idle},
     std::pair{SessionState::idle, SessionState::closed},
     std::pair{SessionState::active, SessionState::closed},
 };
 
-constexpr std::array attempt_moves{
+constexpr std::array attempt_transitions{
     std::pair{AttemptState::connecting, AttemptState::sending},
     std::pair{AttemptState::connecting, AttemptState::finished},
     std::pair{AttemptState::sending, AttemptState::running},
@@ -36,7 +36,7 @@
     std::pair{ChannelState::cancelling, ChannelState::closed},
 };
 
-constexpr std::array query_moves{
+constexpr std::array query_transitions{
     std::pair{QueryState::open, QueryState::streaming},
     std::pair{QueryState::open, QueryState::finished},
     std::pair{QueryState::streaming, QueryState::finished},
@@ -56,10 +56,10 @@
 std::string_view name_of(ChannelState state) { return channel_names[static_cast<std::size_t>(state)]; }
 std::string_view name_of(QueryState state) { return query_names[static_cast<std::size_t>(state)]; }
 
-Transitions<SessionState> legal_transitions(SessionState) { return session_moves; }
-Transitions<AttemptState> legal_transitions(AttemptState) { return attempt_moves; }
+Transitions<SessionState> legal_transitions(SessionState) { return session_transitions; }
+Transitions<AttemptState> legal_transitions(AttemptState) { return attempt_transitions; }
 Transitions<ChannelState> legal_transitions(ChannelState) { return channel_transitions; }
-Transitions<QueryState> legal_transitions(QueryState) { return query_moves; }
+Transitions<QueryState> legal_transitions(QueryState) { return query_transitions; }
 
 void fail_transition(std::string_view machine, std::uint64_t id, std::string_view from, std::string_view to,
                      std::string_view why) {
--- a/src/core/state_machines.hpp
+++ b/src/core/state_machines.hpp
@@ -1,6 +1,6 @@
-// The state machines of the core: named states, one table of legal transitions each, and a failed assertion
-// with its context on any other. A host may let the exception end the process: a manager that has lost track
-// of an attempt can keep no invariant about it.
+/// The state machines of the core: named states, one table of legal transitions each, and an exception with
+/// context on any other. A host may let the exception end the process: a manager that has lost track of an
+/// attempt can keep no invariant about it.
 #pragma once
 
 #include <array>
@@ -13,44 +13,49 @@
 
 namespace paddlestand::core {
 
+/// A transition that is not in the table, or a state in which an event makes no sense.
 struct IllegalTransition : std::logic_error {
   using std::logic_error::logic_error;
 };
 
-// A client's seat: one query at a time.
+/// A client's session: one query at a time.
 enum class SessionState : std::uint8_t { idle, active, closed };
 
-// One attempt of a query at an engine. Up to `sending` it certainly has not run.
+/// One attempt of a query at an engine. Up to and including `sending` it certainly has not run.
 enum class AttemptState : std::uint8_t { connecting, sending, running, answering, cancelling, finished };
 
-// One connection to an engine. `cancelling` is never left but to `closed`: whatever a late cancel strikes, it
-// is not the next query on the channel.
+/// One channel to an engine. From `cancelling` only `closed` follows, so that a late cancel can't strike
+/// another query on the channel.
 enum class ChannelState : std::uint8_t { opening, idle, sending, busy, cancelling, closed };
 
-// A query, as the client sees it: `held` until bytes of its answer go out or it is over.
+/// A query, as its client sees it: `open` until bytes of its answer are delivered or it is finished.
 enum class QueryState : std::uint8_t { open, streaming, finished };
 
-std::string_view name_of(SessionState state);
-std::string_view name_of(AttemptState state);
-std::string_view name_of(ChannelState state);
-std::string_view name_of(QueryState state);
+[[nodiscard]] std::string_view name_of(SessionState state);
+[[nodiscard]] std::string_view name_of(AttemptState state);
+[[nodiscard]] std::string_view name_of(ChannelState state);
+[[nodiscard]] std::string_view name_of(QueryState state);
 
 template <typename State>
 using Transitions = std::span<const std::pair<State, State>>;
 
-Transitions<SessionState> legal_transitions(SessionState);
-Transitions<AttemptState> legal_transitions(AttemptState);
-Transitions<ChannelState> legal_transitions(ChannelState);
-Transitions<QueryState> legal_transitions(QueryState);
+/// The table of legal transitions. The argument only selects the machine.
+[[nodiscard]] Transitions<SessionState> legal_transitions(SessionState);
+[[nodiscard]] Transitions<AttemptState> legal_transitions(AttemptState);
+[[nodiscard]] Transitions<ChannelState> legal_transitions(ChannelState);
+[[nodiscard]] Transitions<QueryState> legal_transitions(QueryState);
 
+/// Throws IllegalTransition for a transition that is not in the table; `why` is what caused it.
 [[noreturn]] void fail_transition(std::string_view machine, std::uint64_t id, std::string_view from,
                                   std::string_view to, std::string_view why);
+/// Throws IllegalTransition for a state that contradicts itself or the event.
 [[noreturn]] void fail_assertion(std::string_view machine, std::uint64_t id, std::string_view what);
 
-// A state that can only move along its table.
+/// A state that changes only along its table.
 template <typename State>
 class Machine {
  public:
+  /// `machine` names it in exceptions and must be a literal.
   Machine(std::string_view machine, std::uint64_t id, State first)
       : machine_(machine), id_(id), state_(first) {}
 
@@ -58,6 +63,7 @@
   [[nodiscard]] bool is(State state) const { return state_ == state; }
   [[nodiscard]] std::uint64_t id() const { return id_; }
 
+  /// Changes the state; throws IllegalTransition where the table does not have the transition.
   void go(State to, std::string_view why) {
     for (const auto& [from, next] : legal_transitions(State{})) {
       if (from == state_ && next == to) {
@@ -69,7 +75,7 @@
   }
 
  private:
-  std::string_view machine_;  // a literal
+  std::string_view machine_;
   std::uint64_t id_;
   State state_;
 };
--- a/src/core/stream_table.hpp
+++ b/src/core/stream_table.hpp
@@ -1,8 +1,9 @@
-/// The streams of one connection to an engine: whose attempt a frame that comes on it belongs to. No I/O.
+/// The streams of one connection to an engine: which attempt a frame that arrives on it belongs to. No I/O,
+/// not thread-safe.
 ///
-/// Frames name a request, not an attempt. So that what still comes of an attempt that has ended can never be
-/// taken for its successor's, an id is used at most once in the life of a connection: a further attempt of
-/// the same request goes out on another one (incident 32, docs/incidents/032-two-attempts-at-once.md).
+/// Frames name a request, not an attempt. A late frame of an attempt that has ended must not be mistaken for
+/// one of its successor: so an id is used at most once in the life of a connection, and a retry of the same
+/// request uses another connection.
 #pragma once
 
 #include <cstddef>
@@ -15,28 +16,28 @@
 
 namespace paddlestand::core {
 
-using StreamId = std::uint64_t;  ///< of a request or a probe, as its frames have it
+using StreamId = std::uint64_t;  ///< the id of a request or a probe in its frames
 
-/// After so many ids a connection takes no new stream, so that what it remembers stays bounded.
+/// After this many ids a connection accepts no new stream, so that the ids it remembers stay bounded.
 inline constexpr std::size_t most_ids_of_a_connection = 1024;
 
 class StreamTable {
  public:
-  /// Whether a stream with this id may be opened: none was before, and there is room to remember it.
+  /// Whether a stream with this id may be opened: none was before, and the connection is not exhausted.
   [[nodiscard]] bool may_carry(StreamId id) const;
   /// Whether no further stream may be opened, whatever its id.
   [[nodiscard]] bool exhausted() const { return used_.size() >= most_ids_of_a_connection; }
 
-  /// Keeps the id for a stream that is going to be opened. False where it may not be.
+  /// Reserves the id for a stream that is going to be opened. False where it may not be.
   bool reserve(StreamId id, ChannelId channel);
-  /// Its first byte may go out from here on. False where the id was not reserved for this channel.
+  /// Its first byte may be sent from here on. False where the id was not reserved for this channel.
   bool open(StreamId id, ChannelId channel);
-  /// What comes for it from here on belongs to nobody.
+  /// Frames of it that arrive from here on belong to no stream.
   void close(StreamId id);
-  /// No byte of it went out, and none will: the id is as if never used.
+  /// No byte of it was sent, and none will be: the id may be used again.
   void release(StreamId id);
 
-  /// The channel of an open stream; nothing for any other id.
+  /// The channel of an open stream; empty for any other id.
   [[nodiscard]] std::optional<ChannelId> channel_of(StreamId id) const;
 
  private:
@@ -45,7 +46,7 @@
     bool open = false;
   };
   std::map<StreamId, Stream> live_;  // reserved or open
-  std::vector<StreamId> used_;  // sorted; those of live_ too
+  std::vector<StreamId> used_;  // sorted; includes those of live_
 };
 
 }  // namespace paddlestand::core
--- a/src/core/wire_attempts.hpp
+++ b/src/core/wire_attempts.hpp
@@ -1,9 +1,9 @@
-/// The attempts of requests that engines may have, by what went out and came in on connections, and not by
-/// what the query coordinator was told: the one place that says when an attempt is over for its engine. No
-/// I/O.
+/// The attempts that engines may have, judged by what was sent and received on connections rather than by
+/// what the query coordinator was notified of: the one place that knows when an attempt has ended for its
+/// engine. No I/O, not thread-safe.
 ///
-/// An attempt is out from its first byte until its end was read, its cancel has left this machine, or its
-/// connection is closed. A cancel that waits, here or in the socket's buffer, ends nothing (incident 32).
+/// An attempt is active from its first byte until its end was read, its cancel has left this machine, or its
+/// connection is closed. A cancel that waits, here or in the socket's buffer, ends nothing.
 #pragma once
 
 #include <cstddef>
@@ -17,21 +17,21 @@
 
 class WireAttempts {
  public:
-  /// Its frame goes out on this connection, or waits there.
+  /// Its frame is sent on this connection, or waits there.
   void began(std::uint64_t request, ConnectionId connection);
-  /// Its cancel was written, or waits; it may not have left yet.
+  /// Its cancel was written, or waits; it may not have left this machine yet.
   void cancelling(std::uint64_t request, ConnectionId connection);
-  /// Its end was read, its cancel has left, or it never goes out.
+  /// Its end was read, its cancel has left, or it will never be sent.
   void ended(std::uint64_t request, ConnectionId connection);
-  /// Closing it gives up all that was open on it.
+  /// Closing a connection ends all attempts on it.
   void connection_closed(ConnectionId connection);
 
-  /// Connections whose cancel of an attempt of this request may not have left. Before a further attempt goes
-  /// out, the cancel of each must have left, or the connection must be closed.
+  /// Connections whose cancel of an attempt of this request may not have left. Before a retry is sent, the
+  /// cancel of each must have left, or the connection must be closed.
   [[nodiscard]] std::vector<ConnectionId> being_cancelled(std::uint64_t request) const;
-  /// Whether an attempt of it is out that was not cancelled: no further one may go out.
+  /// Whether the request has an active attempt that was not cancelled: no other may be sent.
   [[nodiscard]] bool out(std::uint64_t request) const;
-  /// All attempts that engines may have.
+  /// The number of all attempts that engines may have.
   [[nodiscard]] std::size_t size() const { return size_; }
 
  private:
