--- a/src/protocol/pg/extended_batch.hpp
+++ b/src/protocol/pg/extended_batch.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "backend_connection.hpp"
-#include "frontend_limits.hpp"
+#include "frontend_settings.hpp"
 #include "messages.hpp"
 #include "prepared_statements.hpp"
 #include "session_parameters.hpp"
--- a/src/protocol/pg/frontend_limits.hpp
+++ b/src/protocol/pg/frontend_settings.hpp
@@ -1,4 +1,4 @@
-/// How much memory one client's session may use.
+/// Limits of the memory that one client's session may use.
 #pragma once
 
 #include <cstddef>
--- a/tests/clients/pg.test.mjs
+++ b/tests/clients/pg.test.mjs
@@ -1,4 +1,4 @@
-// The driver `pg`, from npm, through a manager to a stand-in engine, both started here on ephemeral loopback ports.
+// The driver `pg`, from npm, through a manager to a test engine, both started here on ephemeral loopback ports.
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { existsSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -12,12 +12,13 @@
 const children = [];
 let port;
 
+// The port that a program writes to this file once it listens.
 async function portFrom(file) {
   for (let i = 0; i < 4000; ++i) {
     if (existsSync(file)) return Number(readFileSync(file, 'utf8').split(' ')[0]);
-    await new Promise((done) => setTimeout(done, 5));
+    await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  throw new Error(`${file} did not come`);
+  throw new Error(`${file} was not written`);
 }
 
 function start(program, ...args) {
@@ -32,13 +33,13 @@
 
 before(async () => {
   start('paddlestand_test_engine', '--port-file', join(folder, 'engine'));
-  const engine = await portFrom(join(folder, 'engine'));
+  const enginePort = await portFrom(join(folder, 'engine'));
   writeFileSync(
     join(folder, 'manager.xml'),
     `<manager xmlns="urn:paddlestand:manager:1" name="m"><listen port="0"/>
      <kinds><kind name="std" cores="8" memory-mb="16384"/></kinds>
      <classes otherwise="q"><class name="q" aim="5s" deadline="15s" late-worth="1" repeat="safe"/></classes>
-     <decisions/><engines><engine id="1" name="e" address="127.0.0.1" kind="std" port="${engine}"/></engines>
+     <decisions/><engines><engine id="1" name="e" address="127.0.0.1" kind="std" port="${enginePort}"/></engines>
      </manager>`,
   );
   start('paddlestand', 'serve', '--config', join(folder, 'manager.xml'), '--port-file', join(folder, 'port'));
@@ -50,22 +51,22 @@
   rmSync(folder, { recursive: true });
 });
 
-async function connected(options = {}) {
+async function connect(options = {}) {
   const client = new pg.Client({ host: '127.0.0.1', port, user: 'ann', database: 'charts', ...options });
   await client.connect();
   return client;
 }
 
-test('asks, and reads rows', async () => {
-  const client = await connected({ statement_timeout: 10000, application_name: 'desk' });
+test('executes queries and reads rows', async () => {
+  const client = await connect({ statement_timeout: 10000, application_name: 'desk' });
   const { rows } = await client.query("select 1 /*sim_rows='3'*/");
   assert.equal(rows.length, 3);
   assert.equal((await client.query('show statement_timeout')).rows[0].statement_timeout, '10000');
   await client.end();
 });
 
-test('binds parameters, and prepares by name', async () => {
-  const client = await connected();
+test('binds parameters and uses named prepared statements', async () => {
+  const client = await connect();
   for (let i = 0; i < 3; ++i) {
     const unnamed = await client.query("select $1 /*sim_rows='2'*/", ['x']);
     assert.equal(unnamed.rows.length, 2);
@@ -75,8 +76,8 @@
   await client.end();
 });
 
-test('queries that are sent at once are answered in their order', async () => {
-  const client = await connected();
+test('pipelined queries are answered in order', async () => {
+  const client = await connect();
   const answers = await Promise.all(
     Array.from({ length: 40 }, (_, i) => client.query(`select $1 /*sim_rows='${1 + (i % 5)}'*/`, [i])),
   );
@@ -84,17 +85,17 @@
   await client.end();
 });
 
-test('what is not carried is an error, and the session lives on', async () => {
-  const client = await connected();
+test('an unsupported statement is an error and the session continues', async () => {
+  const client = await connect();
   await assert.rejects(client.query('begin'), { code: '0A000' });
   await assert.rejects(client.query("select 1 /*class='nope'*/"), { code: '22023' });
   assert.equal((await client.query('select 1')).rows.length, 1);
   await client.end();
 });
 
-test('advice can be read from a refusal', async () => {
-  const client = await connected();
-  // It can't be done in its time, and is refused at once.
+test('a rejection carries advice in its hint', async () => {
+  const client = await connect();
+  // It can't be done before its deadline, and is rejected at once.
   await assert.rejects(client.query("select 1 /*cost_ms='60000',deadline_ms='500'*/"), (error) => {
     assert.equal(error.code, '53400');
     assert.match(error.hint, /^retry_after_ms=\d+; repeat=harmless$/);
@@ -103,29 +104,29 @@
   await client.end();
 });
 
-test('every statement is answered while calls of the manager fail for a moment', async () => {
+test('every statement is answered while system calls of the manager fail for a moment', async () => {
   const faults =
     'recv EINTR 0.01; recv ENOMEM 0.003; send EINTR 0.01; send ENOBUFS 0.01; accept ECONNABORTED 0.2;' +
     'accept EMFILE 0.1; connect EADDRNOTAVAIL 0.1; socket ENFILE 0.1; recv short 0.1; send short 0.1';
   const file = join(folder, 'port-with-faults');
   startWithFaults(faults, 'paddlestand', 'serve', '--config', join(folder, 'manager.xml'), '--port-file', file);
-  const shaky = await portFrom(file);
-  const clients = await Promise.all(Array.from({ length: 16 }, () => connected({ port: shaky })));
-  const wrong = [];
+  const faultyPort = await portFrom(file);
+  const clients = await Promise.all(Array.from({ length: 16 }, () => connect({ port: faultyPort })));
+  const unexpected = [];
   await Promise.all(
-    clients.map(async (client, n) => {
-      client.on('error', (error) => wrong.push(error.message));
+    clients.map(async (client, number) => {
+      client.on('error', (error) => unexpected.push(error.message));
       for (let i = 0; i < 120; ++i) {
         try {
-          const { rows } = await client.query(`select $1 /*sim_rows='${1 + ((n + i) % 5)}'*/`, [i]);
-          if (rows.length !== 1 + ((n + i) % 5)) wrong.push(`${rows.length} rows`);
+          const { rows } = await client.query(`select $1 /*sim_rows='${1 + ((number + i) % 5)}'*/`, [i]);
+          if (rows.length !== 1 + ((number + i) % 5)) unexpected.push(`${rows.length} rows`);
         } catch (error) {
-          // A refusal or a failure is an answer; the end of the connection is none.
-          if (!error.code) wrong.push(error.message);
+          // A rejection or a failure is an answer; the end of the connection is none.
+          if (!error.code) unexpected.push(error.message);
         }
       }
     }),
   );
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(unexpected, []);
   await Promise.all(clients.map((client) => client.end()));
 });
--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -1,5 +1,5 @@
-// A real manager and real test engines on loopback, in this process, each on a thread of its own; and a raw
-// client that sees every byte.
+/// A real manager and real test engines on loopback, in this process, each on a thread of its own; a raw
+/// client that sees every byte; shortages of the machine.
 #pragma once
 
 #include <arpa/inet.h>
@@ -11,6 +11,9 @@
 #include <unistd.h>
 
 #include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "protocol/pg/frame.hpp"
 #include "protocol/pg/messages.hpp"
@@ -24,32 +27,89 @@
 using namespace std::chrono_literals;
 using namespace paddlestand::test;
 
+/// A test engine, to be commanded into its faults.
 class Engine : public Thread<test_engine::Server> {
  public:
   explicit Engine(test_engine::TestEngineSettings settings = {})
       : Thread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
   std::string command(const std::string& line) {
-    return run([&](test_engine::Server& s) { return s.command(line); });
+    return run([&](test_engine::Server& server) { return server.command(line); });
   }
 };
 
+/// Settings with a class for idempotent queries (lookup) and one for others (settle), and these engines.
+/// `more`: elements that stand before the engines.
+inline std::string manager_settings(const std::vector<std::uint16_t>& engine_ports,
+                                    const std::string& more = {}) {
+  std::string text =
+      R"(<manager xmlns="urn:paddlestand:manager:1" name="m"><listen port="0" most-sessions="300"/>
+    <engine-links most-per-engine="8" connect-time="300ms" probe-time="300ms" cancel-grace="300ms"/>
+    <kinds><kind name="std" cores="8" memory-mb="16384"/></kinds>
+    <classes otherwise="lookup">
+      <class name="lookup" aim="5s" aim-stretch="2" deadline="15s" late-worth="1" repeat="safe"/>
+      <class name="settle" aim="5s" deadline="15s" late-worth="1" repeat="unsafe"/>
+    </classes>
+    <decisions/><log level="error"/>)" +
+      more + "<engines>";
+  int id = 0;
+  for (const auto port : engine_ports) {
+    ++id;
+    text += "<engine id=\"" + std::to_string(id) + "\" name=\"e" + std::to_string(id) +
+            "\" address=\"127.0.0.1\" kind=\"std\" port=\"" + std::to_string(port) + "\"/>";
+  }
+  return text + "</engines></manager>";
+}
+
+inline pg::Users trusted_users() {
+  pg::Users users;
+  users.trust = true;
+  return users;
+}
+
+/// A manager with these settings. `path`: where they would stand, for the files that they name.
+class RunningManager : public Thread<PostgresServer> {
+ public:
+  explicit RunningManager(const std::string& settings, pg::Users users = trusted_users(),
+                          const std::string& path = "test")
+      : Thread([&](auto& io) {
+          auto read = config::parse_manager_config(settings, path);
+          if (const auto* fault = std::get_if<config::Fault>(&read)) throw std::runtime_error(fault->text());
+          return std::make_unique<PostgresServer>(io, std::get<config::ManagerConfig>(std::move(read)), "",
+                                                  users, "");
+        }) {}
+  std::uint16_t port() {
+    return run([](PostgresServer& server) { return server.port(); });
+  }
+  core::Counts counts() {
+    return run([](PostgresServer& server) { return server.counts(); });
+  }
+  /// Whether no query, attempt or buffered byte is left, now or in a while.
+  bool becomes_idle() {
+    return comes_true([&] {
+      const core::Counts now = counts();
+      return now.queries_open == 0 && now.attempts_out == 0 && now.bytes_buffered == 0;
+    });
+  }
+};
+
+inline sockaddr_in loopback(std::uint16_t port) {
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  return address;
+}
+
+enum class Login { perform, skip };
+
+/// A client that sends and receives single messages.
 class RawClient {
  public:
-  explicit RawClient(std::uint16_t port, bool login = true) : frames_(64U << 20U) {
+  explicit RawClient(std::uint16_t port, Login login = Login::perform) : frames_(64U << 20U) {
     socket_ = ::socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port);
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    connected_ = ::connect(socket_, reinterpret_cast<sockaddr*>(&at), sizeof(at)) == 0;
-    if (!login) return;
-    std::string hello;
-    const std::vector<std::pair<std::string, std::string>> who{{"user", "ann"}, {"database", "charts"}};
-    pg::put_startup(hello, who);
-    send(hello);
-    for (auto frame = next(); frame && frame->type != 'Z'; frame = next()) {
-      if (frame->type == 'K') key_ = frame->body;
-    }
+    const sockaddr_in address = loopback(port);
+    is_connected_ = ::connect(socket_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0;
+    if (login == Login::perform) log_in();
   }
   ~RawClient() { close(); }
   RawClient(const RawClient&) = delete;
@@ -67,72 +127,88 @@
       bytes.remove_prefix(static_cast<std::size_t>(sent));
     }
   }
-  void query(const std::string& text) const {
+  void send_query(const std::string& text) const {
     std::string bytes;
     pg::put_query(bytes, text);
     send(bytes);
   }
-  // The next message; nothing at the end of the connection, or when none comes for long.
-  std::optional<Message> next(int wait_ms = client_timeout_ms) {
+  /// The next message; nothing at the end of the connection, or when none arrives in time.
+  std::optional<Message> next_message(int timeout_ms = client_timeout_ms) {
     for (;;) {
       if (const auto frame = frames_.next()) return Message{frame->type, std::string(frame->body)};
-      pollfd poll_on{socket_, POLLIN, 0};
-      if (::poll(&poll_on, 1, wait_ms) <= 0) return std::nullopt;
-      char part[65536];
-      const ssize_t got = ::recv(socket_, part, sizeof(part), 0);
-      if (got <= 0) {
-        ended_ = true;
+      pollfd readable{socket_, POLLIN, 0};
+      if (::poll(&readable, 1, timeout_ms) <= 0) return std::nullopt;
+      char buffer[65536];
+      const ssize_t received = ::recv(socket_, buffer, sizeof(buffer), 0);
+      if (received <= 0) {
+        is_closed_by_server_ = true;
         return std::nullopt;
       }
-      frames_.feed({part, static_cast<std::size_t>(got)});
+      frames_.feed({buffer, static_cast<std::size_t>(received)});
     }
   }
-  // Types of all messages up to ReadyForQuery, or the end; the last error's code is kept.
-  std::string answer() {
+  /// The types of all messages up to ReadyForQuery, or the end. Remembers the last error's code and hint.
+  std::string read_answer() {
     std::string types;
-    code_.clear();
-    hint_.clear();
-    for (auto message = next(); message; message = next()) {
+    error_code_.clear();
+    error_hint_.clear();
+    for (auto message = next_message(); message; message = next_message()) {
       types.push_back(message->type);
       if (message->type == 'E') {
         const auto fields = pg::parse_fields(message->body);
-        code_ = fields->code;
-        hint_ = fields->hint;
+        error_code_ = fields->code;
+        error_hint_ = fields->hint;
       }
       if (message->type == 'Z') break;
     }
     return types;
   }
-  std::string ask(const std::string& text) {
-    query(text);
-    return answer();
+  /// Sends a query and reads its answer.
+  std::string execute(const std::string& text) {
+    send_query(text);
+    return read_answer();
   }
   void close() {
     if (socket_ >= 0) ::close(socket_);
     socket_ = -1;
   }
-  // Whether something comes within a short time though nothing should.
-  bool hears_more() { return next(150).has_value(); }
+  /// Whether a message arrives within a short time though none should.
+  bool receives_more() { return next_message(150).has_value(); }
 
-  [[nodiscard]] const std::string& code() const { return code_; }
-  [[nodiscard]] const std::string& hint() const { return hint_; }
-  [[nodiscard]] const std::string& key() const { return key_; }
-  [[nodiscard]] bool ended() const { return ended_; }
-  [[nodiscard]] bool connected() const { return connected_; }
-  [[nodiscard]] int descriptor() const { return socket_; }
+  [[nodiscard]] const std::string& error_code() const { return error_code_; }
+  [[nodiscard]] const std::string& error_hint() const { return error_hint_; }
+  /// The body of BackendKeyData.
+  [[nodiscard]] const std::string& cancel_key() const { return cancel_key_; }
+  [[nodiscard]] bool is_closed_by_server() const { return is_closed_by_server_; }
+  [[nodiscard]] bool is_connected() const { return is_connected_; }
 
  private:
+  void log_in() {
+    std::string startup;
+    const std::vector<std::pair<std::string, std::string>> parameters{{"user", "ann"},
+                                                                      {"database", "charts"}};
+    pg::put_startup(startup, parameters);
+    send(startup);
+    for (auto message = next_message(); message && message->type != 'Z'; message = next_message()) {
+      if (message->type == 'K') cancel_key_ = message->body;
+    }
+  }
+
   int socket_ = -1;
-  bool connected_ = false, ended_ = false;
+  bool is_connected_ = false;
+  bool is_closed_by_server_ = false;
   pg::FrameReader frames_;
-  std::string code_, hint_, key_;
+  std::string error_code_;
+  std::string error_hint_;
+  std::string cancel_key_;
 };
 
-inline void send_cancel(std::uint16_t port, std::string key) {
-  RawClient side(port, false);
-  std::string bytes("\0\0\0\x10\x04\xd2\x16\x2e", 8);
-  side.send(bytes + key);
-  side.next();  // its end
+/// Sends a CancelRequest on a connection of its own, and waits for its end.
+inline void send_cancel(std::uint16_t port, const std::string& cancel_key) {
+  RawClient connection(port, Login::skip);
+  const std::string header("\0\0\0\x10\x04\xd2\x16\x2e", 8);
+  connection.send(header + cancel_key);
+  connection.next_message();
 }
 
 }  // namespace paddlestand::service::test
