--- a/tests/core/connection_policy_test.cpp
+++ b/tests/core/connection_policy_test.cpp
@@ -10,73 +10,74 @@
 
 using namespace std::chrono_literals;
 
-TEST(CallVerdicts, AnInterruptedCallIsMadeAgainWhateverItIs) {
+TEST(CallVerdicts, InterruptedCallIsRetriedAtOnce) {
   for (int call = 0; call <= static_cast<int>(SystemCall::read_file); ++call)
     EXPECT_EQ(verdict_of(static_cast<SystemCall>(call), EINTR), CallVerdict::retry_now) << call;
 }
 
-TEST(CallVerdicts, AShortageOfThisMachineEndsNothing) {
+TEST(CallVerdicts, ResourceShortageIsRetriedLater) {
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM})
     for (int call = 0; call <= static_cast<int>(SystemCall::read_file); ++call)
       EXPECT_EQ(verdict_of(static_cast<SystemCall>(call), error), CallVerdict::retry_later) << call << error;
 }
 
-TEST(CallVerdicts, ABrokenConnectionHasEnded) {
+TEST(CallVerdicts, BrokenConnectionHasEnded) {
   for (const int error : {ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, EBADF, ENOTCONN})
     for (const SystemCall call : {SystemCall::receive, SystemCall::send})
       EXPECT_EQ(verdict_of(call, error), CallVerdict::ended) << error;
 }
 
-TEST(CallVerdicts, AFullBufferIsWaitedFor) {
+TEST(CallVerdicts, BlockedCallWaitsUntilReady) {
   EXPECT_EQ(verdict_of(SystemCall::receive, EAGAIN), CallVerdict::wait_until_ready);
   EXPECT_EQ(verdict_of(SystemCall::send, EAGAIN), CallVerdict::wait_until_ready);
   EXPECT_EQ(verdict_of(SystemCall::accept, EAGAIN), CallVerdict::wait_until_ready);
 }
 
-TEST(CallVerdicts, AnAbortedConnectionSaysNothingOfTheListener) {
+TEST(CallVerdicts, AbortedConnectionDoesNotEndTheListener) {
   for (const int error : {ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, ENETUNREACH, EPERM})
     EXPECT_EQ(verdict_of(SystemCall::accept, error), CallVerdict::retry_now) << error;
   EXPECT_EQ(verdict_of(SystemCall::accept, EBADF), CallVerdict::ended);
 }
 
-TEST(CallVerdicts, WhatIsMissingHereToConnectIsNoRefusal) {
+TEST(CallVerdicts, LocalConnectErrorIsNotARefusal) {
   for (const int error : {EADDRNOTAVAIL, ENETUNREACH, EAGAIN, EADDRINUSE})
     EXPECT_EQ(verdict_of(SystemCall::connect, error), CallVerdict::retry_later) << error;
   for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET})
     EXPECT_EQ(verdict_of(SystemCall::connect, error), CallVerdict::refused) << error;
 }
 
-TEST(CallVerdicts, AnAddressMayBeFreeInAMoment) {
+TEST(CallVerdicts, BindToAnAddressInUseIsRetriedLater) {
   EXPECT_EQ(verdict_of(SystemCall::bind, EADDRINUSE), CallVerdict::retry_later);
   EXPECT_EQ(verdict_of(SystemCall::bind, EACCES), CallVerdict::ended);
 }
 
-TEST(Dispatch, NothingBeginsForAClientThatHasGoneOrWaitsNoLonger) {
+TEST(Dispatch, NothingIsDispatchedForADisconnectedOrTimedOutClient) {
   EXPECT_EQ(may_dispatch({true, 1ms, 1s}), DispatchDecision::dispatch);
   EXPECT_EQ(may_dispatch({false, 1ms, 1s}), DispatchDecision::client_gone);
   EXPECT_EQ(may_dispatch({true, 1ms, 0s}), DispatchDecision::time_is_up);
 }
 
-TEST(Dispatch, AClientThatWasNotReadLatelyIsReadFirst) {
+TEST(Dispatch, ClientThatWasNotReadRecentlyIsReadFirst) {
   EXPECT_EQ(may_dispatch({true, 300ms, 1s}), DispatchDecision::read_client_first);
   EXPECT_EQ(may_dispatch({true, 300ms, 1s, true}), DispatchDecision::dispatch);
   EXPECT_EQ(may_dispatch({true, 300ms, 0s, true}), DispatchDecision::time_is_up);
   EXPECT_EQ(may_dispatch({false, 300ms, 1s, true}), DispatchDecision::client_gone);
 }
 
-TEST(Close, OnlyARestingConnectionMayBeClosed) {
+TEST(Close, OnlyAnIdleConnectionMayBeClosed) {
   EXPECT_EQ(may_close({0, 0, true, false}), CloseDecision::close);
   EXPECT_EQ(may_close({1, 0, true, false}), CloseDecision::owes_answers);
   EXPECT_EQ(may_close({0, 9, true, false}), CloseDecision::has_unsent_answers);
   EXPECT_EQ(may_close({0, 0, true, true}), CloseDecision::has_unread_input);
 }
 
-TEST(Close, ALookThatFailedIsNoKnowledgeOfSilence) {
+TEST(Close, ConnectionWhoseInputIsUnknownMayNotBeClosed) {
   EXPECT_EQ(may_close({0, 0, false, false}), CloseDecision::has_unread_input);
 }
 
-TEST(Violations, AreCountedByKindAndTheFirstIsTold) {
+TEST(Violations, AreCountedByKindAndTheFirstOfAKindIsReported) {
   ViolationCounter counter;
+
   EXPECT_TRUE(counter.add(Violation::deadline_beyond_client));
   EXPECT_FALSE(counter.add(Violation::deadline_beyond_client));
   EXPECT_TRUE(counter.add(Violation::begun_after_client_left));
--- a/tests/core/resource_level_test.cpp
+++ b/tests/core/resource_level_test.cpp
@@ -1,4 +1,4 @@
-// Long service: engines, ids and keys are ever new, and what is kept of them does not grow.
+// A long run: engines, ids and keys are always new, and what is remembered of them does not grow.
 #include <gtest/gtest.h>
 
 #include "coordinator_harness.hpp"
@@ -7,63 +7,88 @@
 namespace paddlestand::core::test {
 namespace {
 
-TEST(Level, GenerationsOfEnginesAndKeysLeaveNothingBehind) {
-  CoreSettings settings = small_core();
-  settings.idle_channels_per_engine = 0;
-  QueryCoordinator coordinator(settings);
-  InvariantMonitor monitor(settings);
-  TimePoint now = 1h;
-  std::vector<HostAction> effects;
-  const auto handle = [&](const CoreEvent& event) {
-    monitor.on_event(now, event);
-    effects.clear();
-    coordinator.handle(now, event, effects);
+/// A coordinator and a monitor of the same events and actions.
+class MonitoredCoordinator {
+ public:
+  explicit MonitoredCoordinator(const CoreSettings& settings) : coordinator(settings), monitor(settings) {}
+
+  std::vector<HostAction> handle(const CoreEvent& event) {
+    std::vector<HostAction> actions;
+    monitor.on_event(now_, event);
+    coordinator.handle(now_, event, actions);
     coordinator.check();
-    for (const HostAction& action : effects) monitor.on_action(now, action);
-    return effects;
-  };
-  const auto entries = [&] {
+    for (const HostAction& action : actions) monitor.on_action(now_, action);
+    return actions;
+  }
+
+  void advance(Duration by) {
+    const TimePoint until = now_ + by;
+    for (auto due = coordinator.due(); due && *due <= until; due = coordinator.due()) {
+      now_ = std::max(now_, *due);
+      handle(TimerExpired{});
+    }
+    now_ = until;
+  }
+
+  /// The entries of all tables of both.
+  [[nodiscard]] std::size_t entries() {
     Entries found;
     coordinator.visit(found);
     monitor.visit(found);
     return found.all;
-  };
+  }
+
+  QueryCoordinator coordinator;
+  InvariantMonitor monitor;
+
+ private:
+  TimePoint now_{1h};
+};
+
+std::optional<ChannelId> opened_channel(const std::vector<HostAction>& actions) {
+  std::optional<ChannelId> channel;
+  for (const HostAction& action : actions)
+    if (const auto* open = std::get_if<OpenChannel>(&action)) channel = open->channel;
+  return channel;
+}
+
+/// One query with an ordering key that is never used again, from its session's start to its end.
+void run_query(MonitoredCoordinator& manager, QueryId query, bool is_answered) {
+  manager.handle(SessionOpened{query});
+  const auto channel =
+      opened_channel(manager.handle(QueryArrived{query, query, 1, 0, query * 77, 5s, 20ms, 0, 0, false}));
+  ASSERT_TRUE(channel);
+  manager.handle(ChannelOpened{*channel});
+  manager.handle(QuerySent{*channel});
+  if (is_answered) {
+    manager.handle(AnswerEnd{*channel, Ending::complete, 10, true, 10ms, 1.0, {}});
+  } else {
+    manager.handle(ChannelLost{*channel, ChannelLossReason::closed});
+  }
+  manager.handle(SessionClosed{query});
+}
+
+TEST(ResourceLevel, StateOfRemovedEnginesAndFinishedKeysIsReleased) {
+  CoreSettings settings = small_core();
+  settings.idle_channels_per_engine = 0;
+  MonitoredCoordinator manager(settings);
+
   std::size_t after_a_hundred = 0;
   for (EngineId generation = 1; generation <= 400; ++generation) {
-    handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation)}});
-    for (std::uint64_t i = 0; i < 3; ++i) {
-      const QueryId query = generation * 10 + i;
-      handle(SessionOpened{query});
-      // In turn by a key that never comes again, keyed; the last is never answered by its engine.
-      auto did = handle(QueryArrived{query, query, 1, 0, query * 77, 5s, 20ms, 0, 0, false});
-      std::optional<ChannelId> channel;
-      for (const HostAction& action : did)
-        if (const auto* open = std::get_if<OpenChannel>(&action)) channel = open->channel;
-      ASSERT_TRUE(channel);
-      handle(ChannelOpened{*channel});
-      handle(QuerySent{*channel});
-      if (i == 2) {
-        handle(ChannelLost{*channel, ChannelLossReason::closed});
-      } else {
-        handle(AnswerEnd{*channel, Ending::complete, 10, true, 10ms, 1.0, {}});
-      }
-      handle(SessionClosed{query});
-    }
-    handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation, EngineState::draining)}});
-    handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation, EngineState::removed)}});
-    const TimePoint until = now + 1s;
-    for (auto due = coordinator.due(); due && *due <= until; due = coordinator.due()) {
-      now = std::max(now, *due);
-      handle(TimerExpired{});
-    }
-    now = until;
-    if (generation == 100) after_a_hundred = entries();
+    manager.handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation)}});
+    for (std::uint64_t i = 0; i < 3; ++i)
+      ASSERT_NO_FATAL_FAILURE(run_query(manager, generation * 10 + i, i != 2));
+    manager.handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation, EngineState::draining)}});
+    manager.handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation, EngineState::removed)}});
+    manager.advance(1s);
+    if (generation == 100) after_a_hundred = manager.entries();
   }
-  for (const InvariantViolation& violation : monitor.violations()) ADD_FAILURE() << violation.what;
-  EXPECT_EQ(coordinator.counts().channels, 0U);
-  EXPECT_EQ(coordinator.counts().sessions, 0U);
-  // The module remembers an engine for as long as what it saw of it has not faded: half a minute of them.
-  EXPECT_LE(entries(), after_a_hundred + 8);
+
+  for (const InvariantViolation& violation : manager.monitor.violations()) ADD_FAILURE() << violation.what;
+  EXPECT_EQ(manager.coordinator.counts().channels, 0U);
+  EXPECT_EQ(manager.coordinator.counts().sessions, 0U);
+  // The module remembers an engine until its statistics have decayed, for about half a minute.
+  EXPECT_LE(manager.entries(), after_a_hundred + 8);
   EXPECT_LE(after_a_hundred, 1200U);
 }
 
--- a/tests/core/stream_table_test.cpp
+++ b/tests/core/stream_table_test.cpp
@@ -13,76 +13,98 @@
 
 // ---- StreamTable ----
 
-TEST(StreamTable, AnIdIsUsedOnceInTheLifeOfAConnection) {
+TEST(StreamTable, IdIsUsedOncePerConnection) {
   StreamTable table;
+
   ASSERT_TRUE(table.reserve(7, 1));
   EXPECT_FALSE(table.reserve(7, 2)) << "reserved for another";
   ASSERT_TRUE(table.open(7, 1));
   EXPECT_EQ(table.channel_of(7), ChannelId{1});
+
   table.close(7);
+
   EXPECT_FALSE(table.channel_of(7));
   EXPECT_FALSE(table.may_carry(7));
   EXPECT_FALSE(table.reserve(7, 2));
   EXPECT_TRUE(table.may_carry(8));
 }
 
-TEST(StreamTable, OfAReservedStreamNothingIsAwaited) {
+TEST(StreamTable, ReservedStreamReceivesNoFrames) {
   StreamTable table;
+
   ASSERT_TRUE(table.reserve(7, 1));
   EXPECT_FALSE(table.channel_of(7));
   EXPECT_FALSE(table.open(7, 2)) << "not this link's";
   EXPECT_FALSE(table.open(8, 1)) << "not reserved";
 }
 
-TEST(StreamTable, AnIdOfWhichNothingWentOutIsAsIfNeverUsed) {
+TEST(StreamTable, ReleasedIdMayBeUsedAgain) {
   StreamTable table;
   ASSERT_TRUE(table.reserve(7, 1));
   ASSERT_TRUE(table.open(7, 1));
+
   table.release(7);
+
   EXPECT_TRUE(table.may_carry(7));
   ASSERT_TRUE(table.reserve(7, 2));
   ASSERT_TRUE(table.open(7, 2));
+
   table.close(7);
   table.release(7);  // too late: it was used
+
   EXPECT_FALSE(table.may_carry(7));
 }
 
-TEST(StreamTable, WhatItRemembersIsBounded) {
+TEST(StreamTable, RememberedIdsAreBounded) {
   StreamTable table;
+
   for (StreamId id = 0; id < most_ids_of_a_connection; ++id) {
     ASSERT_FALSE(table.exhausted());
     ASSERT_TRUE(table.reserve(id, id + 1));
     table.close(id);
   }
+
   EXPECT_TRUE(table.exhausted());
   EXPECT_FALSE(table.may_carry(most_ids_of_a_connection));
 }
 
 // ---- WireAttempts ----
 
-TEST(WireAttempts, AnAttemptIsOutUntilItsEndIsReadOrItsConnectionIsClosed) {
+TEST(WireAttempts, AttemptIsActiveUntilItsEndIsReadOrItsConnectionIsClosed) {
   WireAttempts wire;
+
   wire.began(7, 1);
+
   EXPECT_TRUE(wire.out(7));
   EXPECT_FALSE(wire.out(8));
+
   wire.ended(7, 2);  // on another connection: not its end
+
   EXPECT_TRUE(wire.out(7));
+
   wire.ended(7, 1);
+
   EXPECT_FALSE(wire.out(7));
+
   wire.began(7, 2);
   wire.began(8, 2);
   wire.connection_closed(2);
+
   EXPECT_FALSE(wire.out(7));
   EXPECT_EQ(wire.size(), 0U);
 }
 
-TEST(WireAttempts, ACancelledAttemptIsNamedUntilItsCancelHasLeft) {
+TEST(WireAttempts, CancelledAttemptIsListedUntilItsCancelIsSent) {
   WireAttempts wire;
+
   wire.began(7, 1);
   wire.cancelling(7, 1);
+
   EXPECT_FALSE(wire.out(7));
   EXPECT_EQ(wire.being_cancelled(7), std::vector<ConnectionId>{1});
+
   wire.ended(7, 1);
+
   EXPECT_TRUE(wire.being_cancelled(7).empty());
   EXPECT_EQ(wire.size(), 0U);
 }
@@ -99,45 +121,51 @@
   return choose_connection(connections, most, use);
 }
 
-TEST(ConnectionChoice, AnIdleConnectionThatCarriedTheRequestIsPassedOver) {
+TEST(ConnectionChoice, IdleConnectionThatCarriedTheRequestIsSkipped) {
   EXPECT_EQ(choose({used_up}).kind, Kind::open);
+
   const auto choice = choose({used_up, idle});
+
   EXPECT_EQ(choice.kind, Kind::existing);
   EXPECT_EQ(choice.index, 1U);
 }
 
-TEST(ConnectionChoice, TheOneHeardOfLastComesFirst) {
+TEST(ConnectionChoice, MostRecentlyHeardIdleConnectionIsPreferred) {
   ConnectionFacts later = idle;
   later.heard = TimePoint{5};
+
   EXPECT_EQ(choose({idle, later}).index, 1U);
 }
 
-TEST(ConnectionChoice, AtTheUsualNumberStreamsShareAConnection) {
+TEST(ConnectionChoice, StreamsShareAConnectionAtTheUsualNumber) {
   const auto choice = choose({used_up, busy});
+
   EXPECT_EQ(choice.kind, Kind::existing);
   EXPECT_EQ(choice.index, 1U);
 }
 
-TEST(ConnectionChoice, WhereOnlyTheIdBarsARequestItGetsAConnectionBeyondTheUsualNumber) {
+TEST(ConnectionChoice, StreamExcludedOnlyByItsIdGetsAConnectionBeyondTheUsualNumber) {
   EXPECT_EQ(choose({used_up, used_up}).kind, Kind::open);
   EXPECT_EQ(choose({used_up, used_up, used_up}).kind, Kind::open);
   EXPECT_EQ(choose({used_up, used_up, used_up, used_up}).kind, Kind::none) << "twice the usual number";
 }
 
-TEST(ConnectionChoice, WithoutDescriptorsNothingIsOpened) {
+TEST(ConnectionChoice, NothingIsOpenedWithoutDescriptors) {
   ConnectionLimits none = limits;
   none.room = false;
+
   EXPECT_EQ(choose({used_up, used_up}, none).kind, Kind::none);
   EXPECT_EQ(choose({}, none).kind, Kind::none);
 }
 
-TEST(ConnectionChoice, FullConnectionsAreNoReasonToOpenMore) {
+TEST(ConnectionChoice, FullConnectionsDoNotRaiseTheUsualNumber) {
   ConnectionFacts full = busy;
   full.streams = 2;
+
   EXPECT_EQ(choose({full, full}).kind, Kind::none);
 }
 
-TEST(ConnectionChoice, AProbeTakesANewConnectionFirst) {
+TEST(ConnectionChoice, ProbePrefersANewConnection) {
   EXPECT_EQ(choose({idle}, limits, ChannelUse::probe).kind, Kind::open);
   EXPECT_EQ(choose({idle, idle}, limits, ChannelUse::probe).kind, Kind::existing);
 }
--- a/tests/core/wire_exploration_test.cpp
+++ b/tests/core/wire_exploration_test.cpp
@@ -1,9 +1,10 @@
-// Explores what maps frames to attempts (StreamTable, WireAttempts, choose_connection) against an engine that
-// may say anything it may, at any time, about any request that ever reached it: late, twice, out of order, or
-// never. Two things must hold: a frame is credited to the attempt that caused it or to none, and an attempt
-// never begins while the engine has another one of its request. Incident 32 broke both.
+// Explores the mapping of frames to attempts (StreamTable, WireAttempts, choose_connection) against an engine
+// that may send any frame about any request that ever reached it: late, twice, out of order, or never. Two
+// things must hold: a frame is assigned to the attempt that caused it or to none, and an attempt never starts
+// while the engine has another one of its request. Incident 32 broke both.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <array>
 #include <random>
 
@@ -14,37 +15,40 @@
 namespace paddlestand::core {
 namespace {
 
-constexpr std::size_t requests = 2, max_attempts = 3, usual_connections = 2;
+constexpr std::size_t requests = 2;
+constexpr std::size_t max_attempts = 3;
+constexpr std::size_t usual_connections = 2;
 
-// What the manager did before the repair, to show that the exploration would have found it.
+/// The defects that the manager had once, to show that the exploration finds them.
 struct Defects {
-  bool ids_are_forgotten = false;
-  bool cancels_are_believed = false;
+  bool reuses_ids = false;
+  bool trusts_unsent_cancels = false;
 };
 
 struct Connection {
   ConnectionId number{};
   StreamTable table;
   std::size_t streams = 0;
-  bool retired = false, closed = false;
+  bool retired = false;
+  bool closed = false;
 };
 
 struct Attempt {
   std::size_t request{};
   ChannelId channel{};
   std::size_t connection{};
-  bool out = true;  // as the manager has it
-  bool out_at_engine = true;
-  bool cancel_waits = false;
+  bool active = true;  ///< for the manager
+  bool active_at_engine = true;
+  bool cancel_is_unsent = false;
 };
 
 class ModelState {
  public:
   explicit ModelState(Defects defects) : defects_(defects) {}
 
-  [[nodiscard]] const std::string& broken() const { return broken_; }
+  [[nodiscard]] const std::string& violation() const { return violation_; }
 
-  // All moves that can be made now, as numbers for make().
+  /// All moves that are possible now, as numbers for make().
   [[nodiscard]] std::vector<int> moves() const {
     std::vector<int> all;
     for (std::size_t r = 0; r < requests; ++r)
@@ -54,10 +58,13 @@
       if (!connections_[attempt.connection].closed) {
         all.push_back(code(Move::end_frame, a));
         all.push_back(code(Move::further_frame, a));
-        if (attempt.out_at_engine) all.push_back(code(Move::lost_end_frame, a));
+        if (attempt.active_at_engine) all.push_back(code(Move::lost_end_frame, a));
       }
-      if (attempt.out) all.push_back(code(Move::cancel, a)), all.push_back(code(Move::cancel_that_waits, a));
-      if (attempt.cancel_waits) all.push_back(code(Move::cancel_leaves, a));
+      if (attempt.active) {
+        all.push_back(code(Move::cancel, a));
+        all.push_back(code(Move::unsent_cancel, a));
+      }
+      if (attempt.cancel_is_unsent) all.push_back(code(Move::send_cancel, a));
     }
     for (std::size_t c = 0; c < connections_.size(); ++c)
       if (!connections_[c].closed) all.push_back(code(Move::connection_lost, c));
@@ -67,14 +74,20 @@
   void make(int move) {
     const auto subject = static_cast<std::size_t>(move / move_kinds);
     switch (static_cast<Move>(move % move_kinds)) {
-      case Move::start: return start(subject);
-      case Move::end_frame: return frame(subject, true, true);
-      case Move::further_frame: return frame(subject, false, true);
-      case Move::lost_end_frame: return frame(subject, true, false);
-      case Move::cancel: return cancel(subject, false);
-      case Move::cancel_that_waits: return cancel(subject, true);
-      case Move::cancel_leaves: return cancel_leaves(subject);
-      case Move::connection_lost: return close(subject);
+      case Move::start: start(subject); break;
+      case Move::end_frame:
+        end_at_engine(subject);
+        receive_end(subject);
+        break;
+      case Move::further_frame: receive_frame(subject); break;
+      case Move::lost_end_frame: end_at_engine(subject); break;
+      case Move::cancel:
+        cancel(subject);
+        send_cancel(subject);
+        break;
+      case Move::unsent_cancel: cancel(subject); break;
+      case Move::send_cancel: send_cancel(subject); break;
+      case Move::connection_lost: close(subject); break;
     }
   }
 
@@ -85,8 +98,8 @@
     further_frame,
     lost_end_frame,
     cancel,
-    cancel_that_waits,
-    cancel_leaves,
+    unsent_cancel,
+    send_cancel,
     connection_lost
   };
   static constexpr int move_kinds = 8;
@@ -99,7 +112,7 @@
     std::size_t made = 0;
     for (const Attempt& attempt : attempts_) {
       if (attempt.request != request) continue;
-      if (attempt.out) return false;
+      if (attempt.active) return false;
       ++made;
     }
     return made < max_attempts;
@@ -122,36 +135,58 @@
     return connections_.size() - 1;
   }
 
+  [[nodiscard]] bool is_active_at_engine(std::size_t request) const {
+    return std::any_of(attempts_.begin(), attempts_.end(), [&](const Attempt& attempt) {
+      return attempt.request == request && attempt.active_at_engine;
+    });
+  }
+
   void start(std::size_t request) {
     const StreamId id = id_of(request);
     const auto at = place(id);
     if (!at) return;
     const ChannelId channel = attempts_.size() + 1;
-    if (!defects_.cancels_are_believed)
+    if (!defects_.trusts_unsent_cancels)
       for (const ConnectionId number : wire_.being_cancelled(id)) close(number - 1);
-    if (!connections_[*at].table.reserve(id, channel) || !connections_[*at].table.open(id, channel))
-      return fail("an id was used twice on a connection");
-    if (!defects_.cancels_are_believed && wire_.out(id))
-      return fail("a second attempt, by the manager's account");
-    for (const Attempt& earlier : attempts_)
-      if (earlier.request == request && earlier.out_at_engine)
-        return fail("an attempt began while the engine had another one");
+    if (!connections_[*at].table.reserve(id, channel) || !connections_[*at].table.open(id, channel)) {
+      fail("an id was used twice on a connection");
+      return;
+    }
+    if (!defects_.trusts_unsent_cancels && wire_.out(id)) {
+      fail("a second attempt, by the manager's account");
+      return;
+    }
+    if (is_active_at_engine(request)) {
+      fail("an attempt started while the engine had another one");
+      return;
+    }
     wire_.began(id, connections_[*at].number);
     ++connections_[*at].streams;
     attempts_.push_back({request, channel, *at});
   }
 
-  // The engine says something of a request that it has, or once had, on this attempt's connection.
-  void frame(std::size_t cause, bool ends, bool arrives) {
-    if (ends) attempts_[cause].out_at_engine = false;
-    if (!arrives) return;
+  void end_at_engine(std::size_t cause) { attempts_[cause].active_at_engine = false; }
+
+  /// A frame about this attempt's request arrives on its connection. Returns the attempt that it is assigned
+  /// to, if any.
+  Attempt* receive_frame(std::size_t cause) {
     const StreamId id = id_of(attempts_[cause].request);
     const auto channel = connections_[attempts_[cause].connection].table.channel_of(id);
-    if (!channel) return;
-    Attempt& credited = attempts_[*channel - 1];
-    if (*channel != attempts_[cause].channel) return fail("a frame was credited to another attempt");
-    if (!credited.out) return fail("a frame was credited to an attempt that had ended");
-    if (ends) finish(credited);
+    if (!channel) return nullptr;
+    Attempt& assigned = attempts_[*channel - 1];
+    if (*channel != attempts_[cause].channel) {
+      fail("a frame was assigned to another attempt");
+      return nullptr;
+    }
+    if (!assigned.active) {
+      fail("a frame was assigned to an attempt that had ended");
+      return nullptr;
+    }
+    return &assigned;
+  }
+
+  void receive_end(std::size_t cause) {
+    if (Attempt* assigned = receive_frame(cause)) finish(*assigned);
   }
 
   void finish(Attempt& attempt) {
@@ -161,25 +196,24 @@
 
   void end(Attempt& attempt) {
     Connection& connection = connections_[attempt.connection];
-    attempt.out = false;
+    attempt.active = false;
     --connection.streams;
-    if (defects_.ids_are_forgotten) connection.table.release(id_of(attempt.request));
+    if (defects_.reuses_ids) connection.table.release(id_of(attempt.request));
     connection.table.close(id_of(attempt.request));
   }
 
-  void cancel(std::size_t which, bool waits) {
+  void cancel(std::size_t which) {
     Attempt& attempt = attempts_[which];
     end(attempt);
-    if (!defects_.ids_are_forgotten) connections_[attempt.connection].retired = true;
+    if (!defects_.reuses_ids) connections_[attempt.connection].retired = true;
     wire_.cancelling(id_of(attempt.request), connections_[attempt.connection].number);
-    attempt.cancel_waits = true;
-    if (!waits) cancel_leaves(which);
+    attempt.cancel_is_unsent = true;
   }
 
-  void cancel_leaves(std::size_t which) {
+  void send_cancel(std::size_t which) {
     Attempt& attempt = attempts_[which];
-    attempt.cancel_waits = false;
-    attempt.out_at_engine = false;
+    attempt.cancel_is_unsent = false;
+    attempt.active_at_engine = false;
     wire_.ended(id_of(attempt.request), connections_[attempt.connection].number);
   }
 
@@ -189,67 +223,69 @@
     connection.closed = true;
     for (Attempt& attempt : attempts_) {
       if (attempt.connection != which) continue;
-      if (attempt.out) end(attempt);
-      attempt.out_at_engine = attempt.cancel_waits = false;
+      if (attempt.active) end(attempt);
+      attempt.active_at_engine = false;
+      attempt.cancel_is_unsent = false;
     }
     wire_.connection_closed(connection.number);
   }
 
   void fail(const std::string& what) {
-    if (broken_.empty()) broken_ = what;
+    if (violation_.empty()) violation_ = what;
   }
 
   Defects defects_;
   std::vector<Connection> connections_;
   std::vector<Attempt> attempts_;
   WireAttempts wire_;
-  std::string broken_;
+  std::string violation_;
 };
 
-// The first history that breaks something, all of this length tried; nothing where none does.
-std::string first_break(const ModelState& world, int steps) {
-  if (!world.broken().empty()) return world.broken();
+/// The violation of the first history of up to `steps` moves that has one, of all there are; else empty.
+std::string first_violation(const ModelState& state, int steps) {
+  if (!state.violation().empty()) return state.violation();
   if (steps == 0) return {};
-  for (const int move : world.moves()) {
-    ModelState next = world;
+  for (const int move : state.moves()) {
+    ModelState next = state;
     next.make(move);
-    if (auto broken = first_break(next, steps - 1); !broken.empty()) return broken;
+    if (auto violation = first_violation(next, steps - 1); !violation.empty()) return violation;
   }
   return {};
 }
 
-std::string first_break_at_random(Defects defects, std::uint64_t walks, int steps) {
+std::string first_violation_at_random(Defects defects, std::uint64_t histories, int steps) {
   std::mt19937_64 random(32);
-  for (std::uint64_t walk = 0; walk < walks; ++walk) {
-    ModelState world(defects);
-    for (int step = 0; step < steps && world.broken().empty(); ++step) {
-      const auto moves = world.moves();
+  for (std::uint64_t history = 0; history < histories; ++history) {
+    ModelState state(defects);
+    for (int step = 0; step < steps && state.violation().empty(); ++step) {
+      const auto moves = state.moves();
       if (moves.empty()) break;
-      world.make(moves[random() % moves.size()]);
+      state.make(moves[random() % moves.size()]);
     }
-    if (!world.broken().empty()) return world.broken();
+    if (!state.violation().empty()) return state.violation();
   }
   return {};
 }
 
-constexpr int whole_depth = 8, walk_length = 40;
-constexpr std::uint64_t walks = 50000;
+constexpr int exhaustive_depth = 8;
+constexpr int random_steps = 40;
+constexpr std::uint64_t random_histories = 50000;
 
-TEST(WireExploration, NoShortHistoryCreditsAFrameToAnotherAttempt) {
-  EXPECT_EQ(first_break(ModelState(Defects{}), whole_depth), "");
+TEST(WireExploration, NoShortHistoryAssignsAFrameToAnotherAttempt) {
+  EXPECT_EQ(first_violation(ModelState(Defects{}), exhaustive_depth), "");
 }
 
-TEST(WireExploration, NoLongWalkCreditsAFrameToAnotherAttempt) {
-  EXPECT_EQ(first_break_at_random({}, walks, walk_length), "");
+TEST(WireExploration, NoLongRandomHistoryAssignsAFrameToAnotherAttempt) {
+  EXPECT_EQ(first_violation_at_random({}, random_histories, random_steps), "");
 }
 
-TEST(WireExploration, IdsThatAreFreeAgainAtTheFirstEndAreFound) {
-  EXPECT_NE(first_break(ModelState(Defects{.ids_are_forgotten = true}), whole_depth), "");
-  EXPECT_NE(first_break_at_random({.ids_are_forgotten = true}, walks, walk_length), "");
+TEST(WireExploration, ReuseOfIdsAfterTheFirstEndIsDetected) {
+  EXPECT_NE(first_violation(ModelState(Defects{.reuses_ids = true}), exhaustive_depth), "");
+  EXPECT_NE(first_violation_at_random({.reuses_ids = true}, random_histories, random_steps), "");
 }
 
-TEST(WireExploration, CancelsThatAreBelievedBeforeTheyLeaveAreFound) {
-  EXPECT_NE(first_break(ModelState(Defects{.cancels_are_believed = true}), whole_depth), "");
+TEST(WireExploration, TrustInUnsentCancelsIsDetected) {
+  EXPECT_NE(first_violation(ModelState(Defects{.trusts_unsent_cancels = true}), exhaustive_depth), "");
 }
 
 }  // namespace
