--- a/src/core/seeded_defects.hpp
+++ b/src/core/seeded_defects.hpp
@@ -1,5 +1,6 @@
-// Defects that a test build can switch on, one at a time, to show that the explorer finds them. In every
-// other build `seeded` is constant and nothing of them is left.
+/// Defects that a test build switches on, one at a time, to show that the explorer finds them. Their names are
+/// those of history files. The faulty code is in seeded_parts.hpp and seeded_coordinator.hpp, and in the
+/// explorer's model of a host; in every other build nothing of it is left.
 #pragma once
 
 #include <array>
@@ -10,7 +11,7 @@
 
 enum class Defect : std::uint8_t {
   none,
-  // Of the query coordinator.
+  // Of the query coordinator and the event dispatcher.
   answers_twice,
   delivers_after_the_answer,
   reset_told_as_never_ran,
@@ -42,7 +43,7 @@
   pending_send_goes_out,
   broken_link_told_as_ended,
   connect_time_forgotten,
-  // Of how effects are carried out.
+  // Of how actions are executed.
   sent_told_behind_others,
   cancel_strikes_newest_link,
   discard_not_carried_out,
@@ -95,7 +96,7 @@
 
 #ifdef PADDLESTAND_SEEDED_DEFECTS
 inline constexpr bool has_seeded_defects = true;
-inline Defect defect_on = Defect::none;  // set before anything runs, by one thread
+inline Defect defect_on = Defect::none;  ///< set before anything runs, by one thread
 inline bool seeded(Defect defect) { return defect_on == defect; }
 #else
 inline constexpr bool has_seeded_defects = false;
