--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -160,32 +160,39 @@
     class_state.feedback_bound = 0;
     class_state.last_error = 0;
   }
-  const double target =
-      objective_headroom * (sample.present > 0 ? sample.objective_sum / sample.present
-                                               : costs_.usual_latency_objective(class_index));
+  const double objective = sample.present > 0 ? sample.objective_sum / sample.present
+                                              : costs_.usual_latency_objective(class_index);
+  const double target = objective_headroom * objective;
   // max_data: at most what drains within the target, so that one rare heavy request can't allow a long queue.
   const double max_bound =
       std::min(max_bound_in_largest_costs * std::max(class_state.largest_cost, min_largest_cost),
                class_state.drain_rate * target);
+  const double min_bound = min_bound_share * max_bound;
   // b_f = 2/rho * (L - t + (t_oldest + t_newest) / 2) - running
   const double predicted_bound =
       2 * class_state.drain_rate * (target - state_.now + (sample.oldest + sample.newest) / 2) -
       class_state.running_cost;
-  if (class_state.answers + sample.late > 0) {
-    // b_delta += k_p * ((k_i + 1) * error - last error)
-    const double latency =
-        (class_state.latency_sum + sample.late_age_sum) / (class_state.answers + sample.late);
-    const double error = target - latency;
-    class_state.feedback_bound += gain_scale * class_state.finish_rate * proportional_gain *
-                                  ((integral_gain + 1) * error - class_state.last_error);
-    class_state.last_error = error;
-  }
+  update_feedback_bound(class_state, sample, target);
   class_state.feedback_bound = std::clamp(class_state.feedback_bound, -max_bound, max_bound);
   // b_total = b_f + b_delta
-  const double min_bound = min_bound_share * max_bound;
   class_state.admission_bound =
       std::clamp(predicted_bound + class_state.feedback_bound, min_bound, max_bound);
   class_state.is_closed = class_state.admission_bound <= min_bound;
+  start_period(class_state);
+}
+
+void AdmissionController::update_feedback_bound(ClassState& class_state, const LatencySample& sample,
+                                                double target) const {
+  const double answers = class_state.answers + sample.late;
+  if (answers <= 0) return;
+  const double error = target - (class_state.latency_sum + sample.late_age_sum) / answers;
+  // b_delta += k_p * ((k_i + 1) * error - last error)
+  class_state.feedback_bound += gain_scale * class_state.finish_rate * proportional_gain *
+                                ((integral_gain + 1) * error - class_state.last_error);
+  class_state.last_error = error;
+}
+
+void AdmissionController::start_period(ClassState& class_state) const {
   class_state.finished_cost = 0;
   class_state.latency_sum = 0;
   class_state.answers = 0;
--- a/src/decision/admission_controller.hpp
+++ b/src/decision/admission_controller.hpp
@@ -54,6 +54,8 @@
   [[nodiscard]] LatencySample sample_latency(std::size_t class_index) const;
   void update_drain_rate(ClassState& class_state) const;
   void update_bound(std::size_t class_index);
+  void update_feedback_bound(ClassState& class_state, const LatencySample& sample, double target) const;
+  void start_period(ClassState& class_state) const;
 
   ManagerState& state_;
   const CostModel& costs_;
--- a/src/decision/manager_state.cpp
+++ b/src/decision/manager_state.cpp
@@ -31,8 +31,8 @@
 }  // namespace
 
 ManagerState::ManagerState(Settings given_settings)
-    : shared_settings_(std::make_shared<const Settings>(with_usable_threads(std::move(given_settings)))),
-      settings(*shared_settings_),
+    : shared_settings(std::make_shared<const Settings>(with_usable_threads(std::move(given_settings)))),
+      settings(*shared_settings),
       classes(settings.classes.size()),
       retry_budget(settings),
       tenant_quota(settings) {
--- a/src/decision/manager_state.hpp
+++ b/src/decision/manager_state.hpp
@@ -56,8 +56,7 @@
 };
 
 /// State of one manager. A copy behaves as the original would; both share the settings, which never change.
-class ManagerState {
- public:
+struct ManagerState {
   explicit ManagerState(Settings given_settings);
 
   [[nodiscard]] ClassState& class_of(const Request& request) { return classes[request.class_index]; }
@@ -72,12 +71,10 @@
     return ordering_keys.is_first(request.ordering_key, request.id);
   }
 
+  /// Visits everything but the settings.
   void visit(StateVisitor& visitor);
 
- private:
-  std::shared_ptr<const Settings> shared_settings_;
-
- public:
+  std::shared_ptr<const Settings> shared_settings;  // keeps `settings` alive
   const Settings& settings;
   double now = 0;  // s since the first event
   std::vector<ClassState> classes;
--- a/src/decision/outlier_detector.hpp
+++ b/src/decision/outlier_detector.hpp
@@ -3,6 +3,8 @@
 /// probation of single requests.
 #pragma once
 
+#include <cstdint>
+
 #include "decision/action_sink.hpp"
 #include "decision/admission_controller.hpp"
 #include "decision/cost_model.hpp"
--- a/tests/decision/random_traffic_test.cpp
+++ b/tests/decision/random_traffic_test.cpp
@@ -42,7 +42,7 @@
   bool is_over = false;
   std::vector<bool> in_flight;  // by attempt
   std::vector<bool> may_have_run;  // by attempt
-  TimePoint first_in_doubt{};
+  TimePoint first_uncertain_send{};
 };
 
 // Drives the manager and checks every action against the rules.
@@ -130,13 +130,17 @@
     ASSERT_FALSE(contains_true(request.in_flight)) << "two at once";
     ASSERT_EQ(engine_states_.at(send.engine), EngineState::ready);
     ASSERT_LT(request.in_flight.size(), settings_.max_attempts);
-    const bool in_doubt = contains_true(request.may_have_run);
-    if (in_doubt) { ASSERT_NE(settings_.classes[request.class_index].repeat, Idempotency::non_idempotent); }
-    if (in_doubt && request.class_index == keyed_class) { ASSERT_LE(at, request.first_in_doubt + 2s); }
+    const bool may_have_run = contains_true(request.may_have_run);
+    if (may_have_run) {
+      ASSERT_NE(settings_.classes[request.class_index].repeat, Idempotency::non_idempotent);
+    }
+    if (may_have_run && request.class_index == keyed_class) {
+      ASSERT_LE(at, request.first_uncertain_send + 2s);
+    }
     if (request.ordering_key != 0) check_ordering(at, send.request, request);
     if (HasFatalFailure()) return;
     if (!request.in_flight.empty()) check_retry_budget(at);
-    if (!in_doubt) request.first_in_doubt = at;
+    if (!may_have_run) request.first_uncertain_send = at;
     request.in_flight.push_back(true);
     request.may_have_run.push_back(true);
   }
--- a/tests/decision/send_rules_test.cpp
+++ b/tests/decision/send_rules_test.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 /// A request that failed on engine 1 and may have run there.
-Request& add_request_in_doubt(DecisionFixture& fixture) {
+Request& add_request_that_may_have_run(DecisionFixture& fixture) {
   Request& request = fixture.add_request(1);
   Attempt attempt;
   attempt.engine = 1;
@@ -30,7 +30,7 @@
 TEST(SendRules, ARequestInFlightOrAnsweredIsNotSentAgain) {
   DecisionFixture fixture;
   const Engine& engine = fixture.add_engine(1);
-  Request& request = add_request_in_doubt(fixture);
+  Request& request = add_request_that_may_have_run(fixture);
   ASSERT_TRUE(fixture.rules.may_send(request, engine));
 
   request.attempts[0].in_flight = true;
@@ -46,7 +46,7 @@
   settings.classes[0].repeat = Idempotency::non_idempotent;
   DecisionFixture fixture(settings);
   const Engine& engine = fixture.add_engine(1);
-  Request& request = add_request_in_doubt(fixture);
+  Request& request = add_request_that_may_have_run(fixture);
 
   EXPECT_FALSE(fixture.rules.may_send(request, engine));
   EXPECT_FALSE(fixture.rules.may_retry(request));
@@ -66,7 +66,7 @@
   const Engine& same_cell = fixture.add_engine(1);
   Engine& other_cell = fixture.add_engine(2);
   other_cell.entry.cell = 1;
-  const Request& request = add_request_in_doubt(fixture);
+  const Request& request = add_request_that_may_have_run(fixture);
 
   EXPECT_TRUE(fixture.rules.may_send(request, same_cell));
   EXPECT_FALSE(fixture.rules.may_send(request, other_cell));
