--- a/src/decision/resource_grants.cpp
+++ b/src/decision/resource_grants.cpp
@@ -51,10 +51,11 @@
 double ResourceGrants::competing_threads(const Request& request) const {
   const std::uint8_t own = priority_of(request);
   double sum = 0;
-  for (std::uint8_t priority = 0; priority < state_.threads_by_priority.size(); ++priority) {
+  const int priorities = static_cast<int>(state_.threads_by_priority.size());
+  for (int priority = 0; priority < priorities; ++priority) {
     const bool is_lower = state_.settings.engines_honor_priorities && priority < own;
-    sum +=
-        state_.threads_by_priority[priority] * (is_lower ? std::pow(priority_step_ratio, priority - own) : 1);
+    const double threads = state_.threads_by_priority[static_cast<std::size_t>(priority)];
+    sum += threads * (is_lower ? std::pow(priority_step_ratio, priority - own) : 1);
   }
   return sum;
 }
