--- a/src/config/manager_config.cpp
+++ b/src/config/manager_config.cpp
@@ -102,9 +102,10 @@
   void decisions(const Element& at, Settings& out) const {
     out.instances = at.count("instances");
     out.instance_index = at.count("position");
-    if (out.instance_index >= out.instances)
+    if (out.instance_index >= out.instances) {
       fail(at, "position " + std::to_string(out.instance_index) + " of " + std::to_string(out.instances) +
                    " instances; wanted: 0 to one less than instances");
+    }
     out.seed = at.integer("seed");
     out.clock_step = at.time("clock-step");
     if (out.clock_step < std::chrono::milliseconds(1) || out.clock_step > std::chrono::seconds(1))
@@ -134,9 +135,10 @@
     const int budget = (at.has("budget-floor") ? 1 : 0) + (at.has("budget-share") ? 1 : 0) +
                        (at.has("budget-window") ? 1 : 0);
     if (budget != 0 && budget != 3) fail(at, "budget-floor, budget-share and budget-window come together");
-    if (budget == 3)
+    if (budget == 3) {
       out.retry_budget =
           RetryBudgetSettings{at.number("budget-floor"), at.number("budget-share"), at.time("budget-window")};
+    }
   }
 
   ManagerConfig manager(const Element& root) const {
@@ -325,9 +327,10 @@
       return "class '" + x.name + "'";
   }
   if (a.tenants.size() != b.tenants.size()) return "tenants";
-  for (std::size_t i = 0; i < a.tenants.size(); ++i)
+  for (std::size_t i = 0; i < a.tenants.size(); ++i) {
     if (a.tenants[i].name != b.tenants[i].name || a.tenants[i].quota_per_s != b.tenants[i].quota_per_s)
       return "tenants";
+  }
   if (a.instances != b.instances || a.instance_index != b.instance_index || a.seed != b.seed ||
       a.clock_step != b.clock_step || a.max_attempts != b.max_attempts || a.drain_grace != b.drain_grace)
     return "decisions";
