--- a/src/protocol/pg/backend_connection.cpp
+++ b/src/protocol/pg/backend_connection.cpp
@@ -73,14 +73,15 @@
 
 }  // namespace
 
-std::string settings_change(const std::map<std::string, std::string>& has,
-                            const std::map<std::string, std::string>& wants) {
+std::string settings_change(const std::map<std::string, std::string>& current,
+                            const std::map<std::string, std::string>& wanted) {
   std::string statements;
-  for (const auto& [name, value] : has)
-    if (!wants.contains(name)) statements += "RESET " + name + ";";
-  for (const auto& [name, value] : wants) {
-    const auto found = has.find(name);
-    if (found == has.end() || found->second != value) statements += "SET " + name + "=" + quoted(value) + ";";
+  for (const auto& [name, value] : current)
+    if (!wanted.contains(name)) statements += "RESET " + name + ";";
+  for (const auto& [name, value] : wanted) {
+    const auto found = current.find(name);
+    if (found == current.end() || found->second != value)
+      statements += "SET " + name + "=" + quoted(value) + ";";
   }
   return statements;
 }
@@ -223,7 +224,7 @@
     case backend_message::parameter_status: on_parameter_status(body); break;
     case backend_message::notice_response:
     case backend_message::notification_response: break;
-    case backend_message::error_response: break;  // said before the engine closes
+    case backend_message::error_response: break;  // sent before the engine closes
     default: break_off(std::string("message '") + type + "' on an idle link", events);
   }
 }
--- a/src/protocol/pg/backend_connection.hpp
+++ b/src/protocol/pg/backend_connection.hpp
@@ -128,9 +128,9 @@
   BackendAnswerEnd end_;  // of the answer so far
 };
 
-/// The statements that change an engine's settings from `has` to `wants`: SET of what differs, RESET of what
-/// is not wanted any more. Empty where nothing differs.
-std::string settings_change(const std::map<std::string, std::string>& has,
-                            const std::map<std::string, std::string>& wants);
+/// The statements that change an engine's settings from `current` to `wanted`: SET of what differs, RESET of
+/// what is not wanted any more. Empty where nothing differs.
+std::string settings_change(const std::map<std::string, std::string>& current,
+                            const std::map<std::string, std::string>& wanted);
 
 }  // namespace paddlestand::pg
--- a/src/service/client_session.hpp
+++ b/src/service/client_session.hpp
@@ -23,13 +23,13 @@
 
   /// Begins to read.
   void start();
-  /// Closes the connection at once. Unread bytes reset it: for clients that are gone or that don't read.
+  /// Closes the connection at once. Unread bytes reset it: for clients that have closed or that don't read.
   void close();
 
   /// Queues an engine's answer, or part of it, for the client; `bytes` is empty then. `mid_message`: the last
   /// message of it is incomplete.
   void deliver(std::string& bytes, bool mid_message);
-  /// The final answer of the request in flight. `end`: what the engine said at its end, if it served the
+  /// The final answer of the request in flight. `end`: what the engine reported at its end, if it served the
   /// request.
   void on_answer(const core::Answer& answer, const pg::BackendAnswerEnd* end);
 
--- a/src/service/engine_channels.hpp
+++ b/src/service/engine_channels.hpp
@@ -33,8 +33,8 @@
   std::unordered_map<EngineId, Endpoint> endpoints_;
 };
 
-/// What engines said at the end of their answers, for the sessions that get these. The core doesn't know the
-/// protocol's part of it: it is set aside when the AnswerEnd is queued, and is current while that is
+/// What engines reported at the end of their answers, for the sessions that get these. The core doesn't know
+/// the protocol's part of it: it is set aside when the AnswerEnd is queued, and is current while that is
 /// dispatched.
 class AnswerEnds {
  public:
--- a/src/service/listener.cpp
+++ b/src/service/listener.cpp
@@ -50,7 +50,8 @@
   }
 }
 
-/// Registers an accepted socket with the loop; false where that fails for a moment, and it is kept for later.
+/// Registers an accepted socket with the loop; false where that fails for a moment: it is retried with the
+/// next batch.
 bool Listener::hand_over(int socket) {
   tcp::socket connection(io_);
   error_code error;
--- a/src/service/postgres_server.hpp
+++ b/src/service/postgres_server.hpp
@@ -51,7 +51,7 @@
 
   // ---- For sessions and channels ----
 
-  /// Dispatches the end of an answer, with what the engine said of it for the session that gets it.
+  /// Dispatches the end of an answer, with what the engine reported for the session that gets it.
   void dispatch_answer_end(const core::AnswerEnd& event, const pg::BackendAnswerEnd& end);
   /// Classifies a session's request and dispatches it; a request with faulty tags is rejected at once.
   void submit_request(const std::shared_ptr<ClientSession>& session, pg::FrontendRequest request);
