--- a/tests/service/failure_fixtures.hpp
+++ b/tests/service/failure_fixtures.hpp
@@ -110,13 +110,21 @@
     write("fresh", text);
     rename(path("fresh").c_str(), path(file).c_str());
   }
+  /// `engines`: engine_element()s and the end of the list.
+  void replace_engine_list(const std::string& engines) const {
+    replace("engines.xml", "<engines xmlns=\"urn:paddlestand:manager:1\">" + engines);
+  }
 
  private:
   std::string path_;
 };
 
-/// The beginning of an engine list, which engine_element()s follow.
-inline const std::string engine_list_start = "<engines xmlns=\"urn:paddlestand:manager:1\">";
+/// manager_settings() that name the engine list of their folder.
+inline std::string manager_settings_with_list_file() {
+  auto settings = manager_settings({});
+  settings.replace(settings.find("<engines>"), 9, "<engines file=\"engines.xml\" poll=\"10ms\">");
+  return settings;
+}
 
 inline std::string engine_element(int id, std::uint16_t port, const char* state) {
   return "<engine id=\"" + std::to_string(id) + "\" name=\"e" + std::to_string(id) +
--- a/tests/service/hard_cases_test.cpp
+++ b/tests/service/hard_cases_test.cpp
@@ -300,10 +300,7 @@
   busy.send_query("select 1 /*sim_work_ms='300'*/");
   ASSERT_TRUE(comes_true([&] { return manager.counts().attempts_out == 1; }));
 
-  manager.run([](PostgresServer& server) {
-    server.begin_shutdown();
-    return 0;
-  });
+  manager.begin_shutdown();
 
   EXPECT_EQ(idle.read_answer(), "E");
   EXPECT_EQ(idle.error_code(), "57P01");
@@ -319,19 +316,13 @@
   Engine first(engine_settings);
   engine_settings.name = "second";
   Engine second(engine_settings);
-
-  const auto write_list = [&](const std::string& engines) {
-    folder.replace("engines.xml", engine_list_start + engines);
-  };
-  write_list(engine_element(1, first->port(), "ready") + "</engines>");
-  auto text = manager_settings({});
-  text.replace(text.find("<engines>"), 9, "<engines file=\"engines.xml\" poll=\"10ms\">");
-  RunningManager manager(text, trusted_users(), folder.path("manager.xml"));
+  folder.replace_engine_list(engine_element(1, first->port(), "ready") + "</engines>");
+  RunningManager manager(manager_settings_with_list_file(), trusted_users(), folder.path("manager.xml"));
   RawClient client(manager.port());
 
   ASSERT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='a'*/"), "TDCZ");
 
-  write_list(engine_element(1, first->port(), "rea"));  // truncated
+  folder.replace_engine_list(engine_element(1, first->port(), "rea"));  // truncated
   std::this_thread::sleep_for(60ms);
   ASSERT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='b'*/"), "TDCZ");
 
@@ -340,8 +331,8 @@
   ASSERT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='c'*/"), "TDCZ");
 
   // Nothing but its engine's drain holds a query back; then it is sent to the other engine.
-  write_list(engine_element(1, first->port(), "draining") + engine_element(2, second->port(), "ready") +
-             "</engines>");
+  folder.replace_engine_list(engine_element(1, first->port(), "draining") +
+                             engine_element(2, second->port(), "ready") + "</engines>");
   // The draining engine's idle channels are closed.
   ASSERT_TRUE(comes_true([&] { return manager.counts().channels_idle == 0; }));
 
@@ -352,16 +343,11 @@
 
   second.command("drain");
   first.command("die-not");  // no such command: it is rejected, and nothing happens
-
   EXPECT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='e'*/"), "TDCZ");  // on the open channel
 
   // A reload of faulty settings changes nothing.
   folder.write("manager.xml", "<manager");
-  manager.run([](PostgresServer& server) {
-    server.reload();
-    return 0;
-  });
-
+  manager.reload();
   EXPECT_EQ(client.execute("select 1 /*cost_ms='1'*/"), "TDCZ");
 }
 
--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -83,6 +83,18 @@
   core::Counts counts() {
     return run([](PostgresServer& server) { return server.counts(); });
   }
+  void reload() {
+    run([](PostgresServer& server) {
+      server.reload();
+      return 0;
+    });
+  }
+  void begin_shutdown() {
+    run([](PostgresServer& server) {
+      server.begin_shutdown();
+      return 0;
+    });
+  }
   /// Whether no query, attempt or buffered byte is left, now or in a while.
   bool becomes_idle() {
     return comes_true([&] {
