--- a/src/core/invariant_monitor.cpp
+++ b/src/core/invariant_monitor.cpp
@@ -31,7 +31,7 @@
 
 void InvariantMonitor::violation(Invariant invariant, std::string what) {
   ++violation_count_;
-  if (violations_.size() < max_kept_violations) violations_.push_back({invariant, std::move(what)});
+  if (violations_.size() < max_recorded_violations) violations_.push_back({invariant, std::move(what)});
 }
 
 const ClassSettings& InvariantMonitor::class_of(const Query& query) const {
--- a/src/core/invariant_monitor.hpp
+++ b/src/core/invariant_monitor.hpp
@@ -31,7 +31,7 @@
   /// Call before the host executes the action.
   void on_action(TimePoint now, const HostAction& action);
 
-  /// Found since they were last cleared; beyond `max_kept_violations` they are only counted.
+  /// Found since they were last cleared; beyond `max_recorded_violations` they are only counted.
   [[nodiscard]] std::vector<InvariantViolation>& violations() { return violations_; }
   [[nodiscard]] std::uint64_t violation_count() const { return violation_count_; }
 
@@ -40,7 +40,7 @@
   /// Whether the settle time of a key ends within (from, to] while an attempt of that key is active.
   [[nodiscard]] bool rest_ends_while_out(TimePoint from, TimePoint to) const;
 
-  static constexpr std::size_t max_kept_violations = 16;
+  static constexpr std::size_t max_recorded_violations = 16;
 
  private:
   // ---- The account: events ----
