--- a/src/platform/client.cpp
+++ b/src/platform/client.cpp
@@ -1,173 +1,220 @@
 #include "client.hpp"
 
+#include <algorithm>
 #include <boost/asio/post.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <set>
 
-#include "platform_server.hpp"
+#include "client_registry.hpp"
+#include "message_batch.hpp"
+#include "platform_host.hpp"
+#include "request_handler.hpp"
+#include "server_lifecycle.hpp"
 #include "service/spawn.hpp"
 
 namespace paddlestand::platform {
 namespace asio = boost::asio;
 using service::IoResult;
 using service::IoStatus;
+using LineKind = OutputBuffer::LineKind;
 using namespace std::chrono_literals;
 
 namespace {
 
-constexpr std::size_t most_open = 32;  // requests on one connection, as the protocol has it
-constexpr std::size_t most_line = 96 * 1024;  // bytes of a request; the largest statement in base64 fits
-constexpr std::size_t read_at_once = 64 * 1024;  // bytes of one client in one turn of the loop
-constexpr std::size_t most_unwritten = 4 * most_open;  // lines for a client that does not read them
-constexpr auto silent_life = 2s;  // without a whole message, from the start
-constexpr auto idle_life = 6s;  // without an open request: clients close theirs after 4 s
-constexpr auto write_stall = 4s;  // a client that reads nothing
-constexpr auto half_line = 2s;  // without a byte of the rest of a message that began
-constexpr auto whole_line = 6s;  // for all of a message: a slow writer is not a silent one
-constexpr auto linger_life = 1s;  // for the client to close after our side was shut down
-constexpr std::size_t most_dropped = 256 * 1024;  // bytes read and dropped meanwhile
+constexpr std::size_t max_line_bytes = 96 * 1024;  // the largest statement in base64 fits
+constexpr std::size_t max_bytes_per_read = 64 * 1024;  // of one client in one turn of the event loop
+constexpr std::size_t max_unwritten_lines = 128;  // for a client that does not read them
+constexpr std::size_t max_dropped_bytes = 256 * 1024;  // received after the end of a connection was decided
+constexpr auto first_message_timeout = 2s;
+constexpr auto idle_timeout = 6s;  // clients close theirs after 4 s without an open request
+constexpr auto write_timeout = 4s;  // without any progress
+constexpr auto partial_message_idle_timeout = 2s;  // without a further byte of it
+constexpr auto partial_message_timeout = 6s;  // for all of a message: slow is not silent
+constexpr auto linger_timeout = 1s;  // for the client to close after this side was shut down
 
 }  // namespace
 
-Client::Client(PlatformServer& platform, tcp::socket socket, std::uint64_t number, Duration waited)
-    : platform_(platform), socket_(std::move(socket)), number_(number), lines_(most_line), waited_(waited) {
-  accepted_ = heard_ = used_ = progress_ = platform.reading();
-}
+Client::Client(const ClientContext& context, tcp::socket socket, std::uint64_t number, Duration waited)
+    : context_(context),
+      host_(context.host),
+      socket_(std::move(socket)),
+      number_(number),
+      lines_(max_line_bytes),
+      last_received_(host_.now()),
+      last_used_(last_received_),
+      last_write_progress_(last_received_),
+      accept_delay_(waited) {}
 
 void Client::start() {
-  service::spawn_with(platform_.io(), [self = shared_from_this()] { return self->read(); });
+  service::spawn_with(host_.io(), [self = shared_from_this()] { return self->read_loop(); });
 }
 
+// ---- End ----
+
 void Client::close(std::string_view reason) {
-  if (closed()) return;
-  platform_.log_close(*this, reason, open_.size());
+  if (is_closed()) return;
+  context_.registry.log_close(*this, reason, open_requests_.size());
   phase_ = Phase::closed;
   socket_.close();
   std::map<std::int64_t, core::SessionId> open;
-  open.swap(open_);
-  for (const auto& [id, session] : open) platform_.abandon(session);
-  platform_.client_gone(*this);
+  open.swap(open_requests_);
+  for (const auto& [id, session] : open) context_.requests.abandon(session);
+  context_.registry.remove(*this);
 }
 
-// What was said is sent on before the connection ends; what still comes is not acted on.
 void Client::finish() {
-  if (!open()) return;
+  if (!is_open()) return;
   phase_ = Phase::ending;
-  ended_ = platform_.reading();
-  if (out_.size() == written_) linger();
+  ending_since_ = host_.now();
+  if (output_.is_empty()) linger();
 }
 
 core::CloseFacts Client::close_facts() {
-  return {open_.size(), backlog(), !may_speak(), inside_since_.has_value()};
+  return {open_requests_.size(), unwritten_bytes(), !may_have_input(), partial_message_since_.has_value()};
 }
 
-// A request that is here already is read and answered first: dropped, it would have had no answer.
+// A request that has arrived already is read and answered first; dropped, it would have no answer.
 void Client::finish_if_idle() {
-  if (!open()) return;
-  if (may_speak()) read_now();
-  if (open() && core::may_close(close_facts()) == core::CloseDecision::close) finish();
+  if (!is_open()) return;
+  if (may_have_input()) read_pending_input();
+  if (is_open() && core::may_close(close_facts()) == core::CloseDecision::close) finish();
 }
 
-// Closing over unread bytes resets the connection, and the last answer may go with it.
+// Closing over unread input resets the connection, and the last answer may be lost with it.
 void Client::linger() {
   phase_ = Phase::lingering;
-  ended_ = platform_.reading();
+  ending_since_ = host_.now();
   if (!socket_.shut_down_sending()) close("its connection is gone");
 }
 
-bool Client::may_speak() { return !closed() && !socket_.surely_empty(); }
+bool Client::may_have_input() { return !is_closed() && !socket_.surely_empty(); }
 
-void Client::drop(std::size_t bytes) {
-  dropped_ += bytes;
-  platform_.dropped(bytes);
-  if (dropped_ > most_dropped) close("goes on writing behind its end");
+void Client::check_timeouts(TimePoint now) {
+  if (is_closed()) return;
+  if (phase_ == Phase::lingering) {
+    if (now - ending_since_ > linger_timeout) close("does not close");
+    return;
+  }
+  if (unwritten_bytes() > 0 && now - last_write_progress_ > write_timeout) {
+    close("does not read");
+    return;
+  }
+  if (!is_open()) return;
+  if (is_message_overdue(now)) read_pending_input();  // the missing bytes may be here, unread
+  if (!is_open()) return;
+  if (is_message_overdue(now)) {
+    reject({}, {std::nullopt, jsonrpc::Code::parse_error, "the rest of a message did not come"});
+    return;
+  }
+  const bool is_silent = !has_sent_message_ && now - last_received_ > first_message_timeout;
+  if (is_silent || now - last_used_ > idle_timeout) finish_if_idle();
 }
 
-asio::awaitable<void> Client::read() {
+// ---- Input ----
+
+asio::awaitable<void> Client::read_loop() {
   const auto self = shared_from_this();
-  while (!closed()) {
-    co_await socket_.wait_to_receive(last_read_);
-    if (closed()) co_return;
-    // Who sends without end has its turn, and the others theirs.
-    while (read_input() == Input::more_is_here) {
-      co_await asio::post(platform_.io(), asio::use_awaitable);
-      if (closed()) co_return;
+  while (!is_closed()) {
+    co_await socket_.wait_to_receive(last_receive_);
+    if (is_closed()) co_return;
+    // A client that sends without pause yields to the others after each turn.
+    while (read_input() == InputStatus::more_available) {
+      co_await asio::post(host_.io(), asio::use_awaitable);
+      if (is_closed()) co_return;
     }
   }
 }
 
-void Client::read_now() {
-  if (closed() || reading_) return;
+void Client::read_pending_input() {
+  if (is_closed() || is_processing_input_) return;
   const auto self = shared_from_this();
   read_input();
 }
 
-// What is here is read to its end before any of it is acted on, a turn's worth at most: who sends much and
-// goes has gone, and nothing of it is begun.
-Client::Input Client::read_input() {
-  const TimePoint began = platform_.reading();
-  std::size_t got = 0;
+// Input is read to its end before any of it is acted on, a bounded amount: nothing is begun for a client that
+// sends much and disconnects.
+Client::InputStatus Client::read_input() {
+  const TimePoint began = host_.now();
+  std::size_t received_bytes = 0;
+  is_processing_input_ = true;
+  const IoResult last = receive_available(received_bytes);
+  is_processing_input_ = false;
+  if (is_closed()) return InputStatus::ended;
+  last_receive_ = last.status;
+  if (last.status == IoStatus::end_of_input || last.status == IoStatus::ended) {
+    close(last.status == IoStatus::end_of_input ? "the client closed it"
+                                                : "receive: " + last.error.message());
+    return InputStatus::ended;
+  }
+  note_delay(last.status, began);
+  if (received_bytes == 0) return InputStatus::drained;
+  last_received_ = host_.now();
+  if (is_open()) process_received_lines();
+  if (is_closed()) return InputStatus::ended;
+  return last.status == IoStatus::progress ? InputStatus::more_available : InputStatus::drained;
+}
+
+IoResult Client::receive_available(std::size_t& received_bytes) {
   IoResult last;
-  reading_ = true;
-  while (got < read_at_once && !closed()) {
-    const auto scratch = platform_.scratch().first(read_at_once - got);
+  while (received_bytes < max_bytes_per_read && !is_closed()) {
+    const auto scratch = host_.scratch().first(max_bytes_per_read - received_bytes);
     last = socket_.receive(scratch);
     if (last.status != IoStatus::progress) break;
-    got += last.bytes;
-    open() ? lines_.feed({scratch.data(), last.bytes}) : drop(last.bytes);
-  }
-  reading_ = false;
-  if (closed()) return Input::ended;
-  last_read_ = last.status;
-  if (last.status == IoStatus::end_of_input || last.status == IoStatus::ended) {
-    input_ended(last);
-    return Input::ended;
-  }
-  note_lateness(last.status, began);
-  if (got == 0) return Input::all_read;
-  heard_ = platform_.reading();
-  if (open()) {
-    auto messages = whole_messages();
-    note_partial_message(!messages.empty());
-    reading_ = true;
-    take(std::move(messages));
-    reading_ = false;
+    received_bytes += last.bytes;
+    if (is_open()) {
+      lines_.feed({scratch.data(), last.bytes});
+    } else {
+      drop_input(last.bytes);
+    }
   }
-  if (closed()) return Input::ended;
-  return last.status == IoStatus::progress ? Input::more_is_here : Input::all_read;
+  return last;
 }
 
-void Client::note_lateness(IoStatus last, TimePoint began) {
-  const TimePoint now = platform_.reading();
-  const Duration failing = read_fails_since_ ? now - *read_fails_since_ : Duration{};
-  const Duration event_loop_lag = std::max({platform_.event_loop_lag(), failing, waited_});
-  input_time_ = std::min(began, now - event_loop_lag);
-  if (last == IoStatus::would_block) {
-    read_empty_ = now;
-    read_fails_since_.reset();
-    waited_ = {};
-  } else if (last == IoStatus::retry_later && !read_fails_since_) {
-    read_fails_since_ = input_time_;  // the first failure may come late itself
-  }
+void Client::drop_input(std::size_t bytes) {
+  dropped_bytes_ += bytes;
+  context_.registry.count_dropped(bytes);
+  if (dropped_bytes_ > max_dropped_bytes) close("goes on writing behind its end");
 }
 
-void Client::input_ended(const IoResult& result) {
-  close(result.status == IoStatus::end_of_input ? "the client closed it"
-                                                : "receive: " + result.error.message());
+void Client::note_delay(IoStatus last_status, TimePoint read_began) {
+  const TimePoint now = host_.now();
+  const Duration failing = receive_failing_since_ ? now - *receive_failing_since_ : Duration{};
+  const Duration delay = std::max({host_.event_loop_lag(), failing, accept_delay_});
+  input_time_ = std::min(read_began, now - delay);
+  if (last_status == IoStatus::would_block) {
+    input_drained_at_ = now;
+    receive_failing_since_.reset();
+    accept_delay_ = {};
+  } else if (last_status == IoStatus::retry_later && !receive_failing_since_) {
+    receive_failing_since_ = input_time_;  // the first failure may have been seen late itself
+  }
 }
 
-// Since when the rest of a message is awaited: what came whole before it is no part of that time.
-void Client::note_partial_message(bool whole_ones_came) {
+// The time limit of a partial message starts anew after each complete one.
+void Client::note_partial_message(bool completed_messages) {
   if (!lines_.inside()) {
-    inside_since_.reset();
-  } else if (!inside_since_ || whole_ones_came) {
-    inside_since_ = heard_;
+    partial_message_since_.reset();
+  } else if (!partial_message_since_ || completed_messages) {
+    partial_message_since_ = last_received_;
   }
 }
 
-std::vector<jsonrpc::Message> Client::whole_messages() {
+bool Client::is_message_overdue(TimePoint now) const {
+  return partial_message_since_ && (now - last_received_ > partial_message_idle_timeout ||
+                                    now - *partial_message_since_ > partial_message_timeout);
+}
+
+void Client::process_received_lines() {
+  auto messages = complete_messages();
+  note_partial_message(!messages.empty());
+  is_processing_input_ = true;
+  process(std::move(messages));
+  is_processing_input_ = false;
+}
+
+std::vector<jsonrpc::Message> Client::complete_messages() {
   std::vector<jsonrpc::Message> messages;
-  while (const auto line = lines_.next()) messages.push_back(platform_.calls().read(*line));
+  while (const auto line = lines_.next()) messages.push_back(context_.calls.read(*line));
   if (lines_.too_long()) {
     messages.emplace_back(
         std::in_place_type<jsonrpc::Problem>,
@@ -176,197 +223,144 @@
   return messages;
 }
 
-// All that came together is looked at before any of it is acted on: a client that sends what can't be taken
-// behind requests in good form, or takes back at once what it asks, costs the engines nothing.
-std::optional<jsonrpc::Problem> Client::wrong_among(const std::vector<jsonrpc::Message>& messages) const {
-  std::map<std::int64_t, std::uint64_t> open;  // numbers and traces, as they would be
-  for (const auto& [id, session] : open_) open.emplace(id, platform_.trace_of(session).value_or(0));
-  if (unwritten_.size() + messages.size() > most_unwritten && !unwritten_.empty())
-    return jsonrpc::Problem{std::nullopt, jsonrpc::Code::refused, "answers are not read"};
-  std::int64_t last = last_id_;
-  std::size_t bytes = 0;
-  std::set<std::uint64_t> traces;
-  for (const jsonrpc::Message& message : messages) {
-    if (const auto* problem = std::get_if<jsonrpc::Problem>(&message)) return *problem;
-    if (const auto* forget = std::get_if<jsonrpc::Forget>(&message))
-      std::erase_if(open, [&](const auto& one) { return forget->means(one.first, one.second); });
-    const auto* query = std::get_if<jsonrpc::Query>(&message);
-    if (query == nullptr) continue;
-    const auto wrong = [&](jsonrpc::Code code, const char* text) {
-      return jsonrpc::Problem{query->id, code, text};
-    };
-    if (query->id <= last)
-      return wrong(jsonrpc::Code::invalid_request, "id; wanted: one that this connection has not used");
-    if (platform_.trace_open(query->trace) || !traces.insert(query->trace).second)
-      return wrong(jsonrpc::Code::invalid_params, "trace; wanted: one that is not open");
-    open.emplace(query->id, query->trace);
-    // To a client a request is open until it has read the answer: one that goes on asking does not read.
-    if (open.size() + unwritten_answers_ > most_open)
-      return wrong(jsonrpc::Code::refused, "at most 32 requests are open at once");
-    bytes += query->statement.size();
-    if (!platform_.room_for(bytes)) return wrong(jsonrpc::Code::refused, "no room for more statements");
-    last = query->id;
-  }
-  return std::nullopt;
-}
+// ---- Messages ----
 
-// Queries that their client took back in the same breath: they go nowhere.
-std::vector<jsonrpc::Query> Client::taken_back(std::vector<jsonrpc::Message>& messages) const {
-  std::vector<jsonrpc::Query> back;
-  for (std::size_t i = 0; i < messages.size(); ++i) {
-    const auto* forget = std::get_if<jsonrpc::Forget>(&messages[i]);
-    if (forget == nullptr) continue;
-    for (std::size_t before = 0; before < i; ++before) {
-      auto* query = std::get_if<jsonrpc::Query>(&messages[before]);
-      if (query == nullptr || !forget->means(query->id, query->trace)) continue;
-      back.push_back(std::move(*query));
-      messages[before] = jsonrpc::Forget{};  // of nothing
-    }
-  }
-  return back;
+std::optional<jsonrpc::Problem> Client::find_problem(const std::vector<jsonrpc::Message>& messages) const {
+  const std::size_t unwritten_lines = output_.unwritten_lines();
+  if (unwritten_lines > 0 && unwritten_lines + messages.size() > max_unwritten_lines)
+    return jsonrpc::Problem{std::nullopt, jsonrpc::Code::refused, "answers are not read"};
+  ConnectionLoad load;
+  for (const auto& [id, session] : open_requests_)
+    load.open_requests.emplace(id, context_.requests.trace_of(session).value_or(0));
+  load.last_id = last_id_;
+  load.unwritten_answers = output_.unwritten_answers();
+  return BatchValidator(context_.requests, std::move(load)).find_problem(messages);
 }
 
-void Client::take(std::vector<jsonrpc::Message> messages) {
+void Client::process(std::vector<jsonrpc::Message> messages) {
   if (messages.empty()) return;
-  used_ = platform_.reading();
-  if (const auto wrong = wrong_among(messages)) return turn_away(messages, *wrong);
-  spoke_ = true;
-  for (const jsonrpc::Query& query : taken_back(messages)) {
+  last_used_ = host_.now();
+  if (const auto problem = find_problem(messages)) {
+    reject(messages, *problem);
+    return;
+  }
+  has_sent_message_ = true;
+  for (const jsonrpc::Query& query : extract_cancelled(messages)) {
     last_id_ = std::max(last_id_, query.id);
-    jsonrpc::put_error(out_, query.id, jsonrpc::Code::refused, "taken back before it was asked");
-    said(false);
+    jsonrpc::put_error(output_.text(), query.id, jsonrpc::Code::refused, "taken back before it was asked");
+    output_.append_finished(LineKind::notice);
   }
   for (jsonrpc::Message& message : messages) {
-    if (!open()) return;
+    if (!is_open()) return;
     if (auto* query = std::get_if<jsonrpc::Query>(&message)) {
-      last_id_ = std::max(last_id_, query->id);
-      const std::int64_t id = query->id;
-      const core::SessionId session = platform_.next_session();
-      open_.emplace(id, session);
-      platform_.ask(shared_from_this(), session, std::move(*query));
-    } else if (const auto* forget = std::get_if<jsonrpc::Forget>(&message)) {
-      // Letting one go may have others answered at once: nothing points into the table meanwhile.
-      std::vector<core::SessionId> gone;
-      std::erase_if(open_, [&](const auto& one) {
-        const bool meant = forget->means(one.first, platform_.trace_of(one.second).value_or(0));
-        if (meant) gone.push_back(one.second);
-        return meant;
-      });
-      platform_.forgotten(gone.size());
-      for (const core::SessionId session : gone) platform_.abandon(session);
-      if (forget->id) jsonrpc::put_done(out_, *forget->id), said(false);
-    } else if (const auto* well = std::get_if<jsonrpc::WellAsked>(&message)) {
-      jsonrpc::put_well(out_, well->id, platform_.is_ready());
-      said(false);
+      process(std::move(*query));
+    } else if (const auto* cancellation = std::get_if<jsonrpc::Forget>(&message)) {
+      process(*cancellation);
+    } else if (const auto* health_check = std::get_if<jsonrpc::WellAsked>(&message)) {
+      process(*health_check);
     }
   }
   flush();
 }
 
-// One error for each number that is open or was asked under, and then the connection's end.
-void Client::turn_away(const std::vector<jsonrpc::Message>& messages, const jsonrpc::Problem& problem) {
-  platform_.turned_away(*this, problem);
+void Client::process(jsonrpc::Query query) {
+  last_id_ = std::max(last_id_, query.id);
+  const core::SessionId session = context_.requests.next_session();
+  open_requests_.emplace(query.id, session);
+  context_.requests.submit(shared_from_this(), session, std::move(query));
+}
+
+void Client::process(const jsonrpc::Forget& cancellation) {
+  // Abandoning a request may have others answered at once, which changes open_requests_: they are removed
+  // first.
+  std::vector<core::SessionId> cancelled;
+  std::erase_if(open_requests_, [&](const auto& request) {
+    const auto& [id, session] = request;
+    const bool is_meant = cancellation.means(id, context_.requests.trace_of(session).value_or(0));
+    if (is_meant) cancelled.push_back(session);
+    return is_meant;
+  });
+  context_.requests.log_cancellation(cancelled.size());
+  for (const core::SessionId session : cancelled) context_.requests.abandon(session);
+  if (!cancellation.id) return;
+  jsonrpc::put_done(output_.text(), *cancellation.id);
+  output_.append_finished(LineKind::notice);
+}
+
+void Client::process(const jsonrpc::WellAsked& health_check) {
+  jsonrpc::put_well(output_.text(), health_check.id, context_.lifecycle.is_ready());
+  output_.append_finished(LineKind::notice);
+}
+
+// One error for each request that is open or was just sent, and then the connection's end.
+void Client::reject(const std::vector<jsonrpc::Message>& messages, const jsonrpc::Problem& problem) {
+  context_.registry.log_rejection(*this, problem);
   std::map<std::int64_t, core::SessionId> open;
-  open.swap(open_);
-  std::set<std::int64_t> told;
-  const auto dispatch = [&](std::optional<std::int64_t> id, jsonrpc::Code code, const std::string& text) {
-    if (out_.size() < most_line && (!id || told.insert(*id).second)) jsonrpc::put_error(out_, id, code, text);
+  open.swap(open_requests_);
+  std::set<std::int64_t> answered;
+  const auto put_error = [&](std::optional<std::int64_t> id, jsonrpc::Code code, const std::string& text) {
+    if (output_.held_bytes() >= max_line_bytes) return;
+    if (id && !answered.insert(*id).second) return;
+    jsonrpc::put_error(output_.text(), id, code, text);
   };
-  dispatch(problem.id, problem.code, problem.text);
+  put_error(problem.id, problem.code, problem.text);
   for (const auto& [id, session] : open) {
-    dispatch(id, jsonrpc::Code::failed, "the connection ends: " + problem.text);
-    platform_.abandon(session);
+    put_error(id, jsonrpc::Code::failed, "the connection ends: " + problem.text);
+    context_.requests.abandon(session);
   }
   for (const jsonrpc::Message& message : messages) {
     if (const auto* query = std::get_if<jsonrpc::Query>(&message))
-      dispatch(query->id, jsonrpc::Code::refused, "the connection ends: " + problem.text);
+      put_error(query->id, jsonrpc::Code::refused, "the connection ends: " + problem.text);
   }
   flush();
   finish();
 }
 
+// ---- Output ----
+
 void Client::answer(std::int64_t request, std::string line) {
-  if (closed() || open_.erase(request) == 0) return;
-  used_ = platform_.reading();
-  if (out_.empty()) {
-    out_ = std::move(line);
-  } else {
-    out_ += line;
-  }
-  said(true);
+  if (is_closed() || open_requests_.erase(request) == 0) return;
+  last_used_ = host_.now();
+  output_.append(std::move(line), LineKind::answer);
   flush();
 }
 
-void Client::said(bool answer) {
-  unwritten_.emplace_back(written_in_all_ + backlog(), answer);
-  unwritten_answers_ += answer ? 1 : 0;
-}
-
-void Client::progressed(std::size_t bytes) {
-  written_ += bytes;
-  written_in_all_ += bytes;
-  progress_ = platform_.reading();
-  for (; !unwritten_.empty() && unwritten_.front().first <= written_in_all_; unwritten_.pop_front())
-    unwritten_answers_ -= unwritten_.front().second ? 1 : 0;
-}
-
-// Writes what waits, until it can't now, or never again.
+// Writes until nothing is pending (progress), or no more can be written now, or never again.
 IoStatus Client::write_pending() {
-  while (written_ < out_.size()) {
-    const IoResult sent = socket_.send(std::string_view(out_).substr(written_));
+  while (!output_.is_empty()) {
+    const IoResult sent = socket_.send(output_.unwritten());
     if (sent.status == IoStatus::ended) close("send: " + sent.error.message());
     if (sent.status != IoStatus::progress) return sent.status;
-    progressed(sent.bytes);
+    output_.consume(sent.bytes);
+    last_write_progress_ = host_.now();
   }
-  std::string().swap(out_);
-  written_ = 0;
+  output_.release_all();
   return IoStatus::progress;
 }
 
 void Client::flush() {
-  if (closed() || writes_) return;
+  if (is_closed() || is_write_loop_running_) return;
   const IoStatus status = write_pending();
-  if (closed()) return;
+  if (is_closed()) return;
   if (status == IoStatus::progress) {
     if (phase_ == Phase::ending) linger();
     return;
   }
-  writes_ = true;
-  service::spawn_with(platform_.io(), [self = shared_from_this()] { return self->write_on(); });
+  is_write_loop_running_ = true;
+  service::spawn_with(host_.io(), [self = shared_from_this()] { return self->write_loop(); });
 }
 
-asio::awaitable<void> Client::write_on() {
+asio::awaitable<void> Client::write_loop() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
-  while (!closed() && last != IoStatus::progress) {
+  while (!is_closed() && last != IoStatus::progress) {
     co_await socket_.wait_to_send(last);
-    if (closed()) co_return;
+    if (is_closed()) co_return;
     last = write_pending();
-    if (written_ >= most_line) {
-      out_.erase(0, written_);
-      written_ = 0;
-    }
-  }
-  writes_ = false;
-  if (!closed()) flush();
-}
-
-bool Client::message_overdue(TimePoint now) const {
-  return inside_since_ && (now - heard_ > half_line || now - *inside_since_ > whole_line);
-}
-
-void Client::sweep(TimePoint now) {
-  if (closed()) return;
-  if (phase_ == Phase::lingering) return now - ended_ > linger_life ? close("does not close") : void();
-  if (backlog() > 0 && now - progress_ > write_stall) return close("does not read");
-  if (!open()) return;
-  if (message_overdue(now)) read_now();  // the rest may be here, and only we are late
-  if (!open()) return;
-  if (message_overdue(now)) {
-    return turn_away({}, {std::nullopt, jsonrpc::Code::parse_error, "the rest of a message did not come"});
+    output_.release_written(max_line_bytes);
   }
-  if (!spoke_ && now - heard_ > silent_life) return finish_if_idle();
-  if (now - used_ > idle_life) finish_if_idle();
+  is_write_loop_running_ = false;
+  if (!is_closed()) flush();
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/client.hpp
+++ b/src/platform/client.hpp
@@ -1,110 +1,149 @@
-/// A client's connection: lines in, lines out, up to 32 requests open on it. A call that fails for a moment
-/// ends nothing here (core::verdict_of); whether this side may end the connection is core::may_close's to
-/// say.
+/// A client's connection: lines in, lines out, up to 32 requests open on it. A call that fails temporarily
+/// ends nothing here (core::verdict_of); whether this side may end the connection is decided by
+/// core::may_close.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <deque>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
+#include <vector>
 
+#include "core/connection_policy.hpp"
 #include "core/types.hpp"
+#include "output_buffer.hpp"
 #include "protocol/jsonrpc/calls.hpp"
 #include "service/socket_calls.hpp"
 
 namespace paddlestand::platform {
 
-class PlatformServer;
+class ClientRegistry;
+class PlatformHost;
+class RequestHandler;
+class ServerLifecycle;
 
+/// What every client connection works with. All must outlive the connections.
+struct ClientContext {
+  PlatformHost& host;
+  RequestHandler& requests;
+  ClientRegistry& registry;
+  const jsonrpc::CallReader& calls;
+  const ServerLifecycle& lifecycle;
+};
+
+/// One connection. Owned by the registry and by its own coroutines; it removes itself from the registry when
+/// it is closed.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  // `waited`: for so long it may have been connected, and have written, before it was accepted.
-  Client(PlatformServer& platform, tcp::socket socket, std::uint64_t number, Duration waited);
+  /// `waited`: how long it may have been connected, and have written, before it was accepted.
+  Client(const ClientContext& context, tcp::socket socket, std::uint64_t number, Duration waited);
 
+  /// Begins to read.
   void start();
-  // At once: what it sent and was not read resets the connection. For clients that owe us reading. The reason
-  // goes to the log.
+  /// Closes the connection at once, and logs the reason. Input that was not read resets it, so this is for
+  /// clients that are at fault.
   void close(std::string_view reason);
-  // Lingering close: our side is shut down, what still comes is read and dropped until the client closes,
-  // for a bounded time. Nothing that is read from here on is acted on.
+  /// Writes what is pending, then closes in an orderly way: this side is shut down, and input is read and
+  /// dropped until the client closes, for a bounded time. Nothing that is read from here on is acted on.
   void finish();
-  // The same, but only where it rests: nothing open, nothing of it unread here.
+  /// As finish(), but only where the connection is idle: no request is open, and no input waits to be read.
+  /// Input that is here is read first.
   void finish_if_idle();
-  // Reads what is here, a turn's worth at most, and acts on it: so that nothing is begun for a client that
-  // has gone, and no connection ends over a request. Not from within its own messages.
-  void read_now();
-  void sweep(TimePoint now);
-
-  // The answer to a request that is open on it, as a line.
+  /// Reads the input that is here, a bounded amount, and acts on it: so that nothing is begun for a client
+  /// that has disconnected, and no connection ends over a request. Has no effect from within the handling of
+  /// its own messages.
+  void read_pending_input();
+  /// Ends the connection where one of its time limits has passed.
+  void check_timeouts(TimePoint now);
+  /// Writes the answer, a line, to a request; dropped where the request is not open any more.
   void answer(std::int64_t request, std::string line);
 
   [[nodiscard]] std::uint64_t number() const { return number_; }
-  [[nodiscard]] bool idle() const { return open_.empty() && out_.size() == written_; }
-  [[nodiscard]] bool lingering() const { return phase_ == Phase::lingering; }
-  [[nodiscard]] bool may_speak();  // bytes of it wait to be read, or nobody knows
-  [[nodiscard]] bool open() const { return phase_ == Phase::open; }
-  // When what is being acted on may have come at the earliest: before it was read, where accepting, reading
-  // or the loop was late. A reading of the clock at the time of acting would miss a stall in between.
+  [[nodiscard]] bool is_open() const { return phase_ == Phase::open; }
+  /// Whether no request is open and no output is pending.
+  [[nodiscard]] bool is_idle() const { return open_requests_.empty() && output_.is_empty(); }
+  /// Whether this side was shut down and the client's close is awaited.
+  [[nodiscard]] bool is_lingering() const { return phase_ == Phase::lingering; }
+  /// Whether input waits to be read, or that can't be known just now.
+  [[nodiscard]] bool may_have_input();
+  /// Whether it ever sent a valid message.
+  [[nodiscard]] bool has_sent_message() const { return has_sent_message_; }
+  /// When the input that is being acted on may have arrived at the earliest: accepting, reading and the event
+  /// loop may each have been late. The time of acting would miss a stall in between.
   [[nodiscard]] TimePoint input_time() const { return input_time_; }
-  // When it was last read until nothing was left.
-  [[nodiscard]] TimePoint read_empty() const { return read_empty_; }
-  [[nodiscard]] bool spoke() const { return spoke_; }  // a message was taken from it
-  [[nodiscard]] TimePoint used() const { return used_; }
-  [[nodiscard]] std::size_t backlog() const { return out_.size() - written_; }
-  [[nodiscard]] std::size_t held() const { return lines_.kept(); }
+  /// When its input was last read to the end.
+  [[nodiscard]] TimePoint input_drained_at() const { return input_drained_at_; }
+  /// When a message was last read or an answer written.
+  [[nodiscard]] TimePoint last_used() const { return last_used_; }
+  [[nodiscard]] std::size_t unwritten_bytes() const { return output_.size(); }
+  /// Bytes of input and output that are held for it.
+  [[nodiscard]] std::size_t buffered_bytes() const { return unwritten_bytes() + lines_.kept(); }
 
  private:
-  // ending: what was said is written out first.
-  enum class Phase : std::uint8_t { open, ending, lingering, closed };
+  enum class Phase : std::uint8_t {
+    open,
+    ending,  // pending output is written, then this side is shut down
+    lingering,  // the client's close is awaited
+    closed
+  };
+  enum class InputStatus : std::uint8_t { drained, more_available, ended };
 
-  enum class Input : std::uint8_t { all_read, more_is_here, ended };
+  // Input.
+  boost::asio::awaitable<void> read_loop();
+  InputStatus read_input();
+  service::IoResult receive_available(std::size_t& received_bytes);
+  void note_delay(service::IoStatus last_status, TimePoint read_began);
+  void note_partial_message(bool completed_messages);
+  void process_received_lines();
+  void drop_input(std::size_t bytes);
+  std::vector<jsonrpc::Message> complete_messages();
+  [[nodiscard]] std::optional<jsonrpc::Problem> find_problem(
+      const std::vector<jsonrpc::Message>& messages) const;
+  void process(std::vector<jsonrpc::Message> messages);
+  void process(jsonrpc::Query query);
+  void process(const jsonrpc::Forget& cancellation);
+  void process(const jsonrpc::WellAsked& health_check);
+  void reject(const std::vector<jsonrpc::Message>& messages, const jsonrpc::Problem& problem);
+  [[nodiscard]] bool is_message_overdue(TimePoint now) const;
 
-  boost::asio::awaitable<void> read();
-  Input read_input();
-  void note_lateness(service::IoStatus last, TimePoint began);
-  void input_ended(const service::IoResult& result);
-  void note_partial_message(bool whole_ones_came);
-  [[nodiscard]] bool message_overdue(TimePoint now) const;
-  [[nodiscard]] core::CloseFacts close_facts();
+  // Output.
   service::IoStatus write_pending();
-  void drop(std::size_t bytes);
-  void said(bool answer);
-  void progressed(std::size_t bytes);
-  boost::asio::awaitable<void> write_on();
-  std::vector<jsonrpc::Message> whole_messages();
-  std::vector<jsonrpc::Query> taken_back(std::vector<jsonrpc::Message>& messages) const;
-  void take(std::vector<jsonrpc::Message> messages);
-  [[nodiscard]] std::optional<jsonrpc::Problem> wrong_among(
-      const std::vector<jsonrpc::Message>& messages) const;
-  void turn_away(const std::vector<jsonrpc::Message>& messages, const jsonrpc::Problem& problem);
   void flush();
+  boost::asio::awaitable<void> write_loop();
+
+  // End.
   void linger();
-  [[nodiscard]] bool closed() const { return phase_ == Phase::closed; }
+  [[nodiscard]] core::CloseFacts close_facts();
+  [[nodiscard]] bool is_closed() const { return phase_ == Phase::closed; }
 
-  PlatformServer& platform_;
+  ClientContext context_;
+  PlatformHost& host_;
   service::StreamSocket socket_;
   std::uint64_t number_;
   jsonrpc::LineCutter lines_;
-  std::map<std::int64_t, core::SessionId> open_;  // by the client's number; 32 at most
-  std::int64_t last_id_ = 0;
-  std::string out_;
-  std::size_t written_ = 0;
-  // Where each line of out_ ends, and whether it answers a request, which stays open to the client until
-  // read.
-  std::deque<std::pair<std::uint64_t, bool>> unwritten_;
-  std::uint64_t written_in_all_ = 0;
-  std::size_t unwritten_answers_ = 0;
-  std::size_t dropped_ = 0;  // bytes that came after its end was decided
-  TimePoint accepted_{}, heard_{}, used_{}, progress_{}, ended_{}, read_empty_{}, input_time_{};
-  std::optional<TimePoint> inside_since_, read_fails_since_;
-  Duration waited_;
+  std::map<std::int64_t, core::SessionId> open_requests_;  // by the client's number; 32 at most
+  std::int64_t last_id_ = 0;  // the highest number that was used
+  OutputBuffer output_;
+  std::size_t dropped_bytes_ = 0;  // received after its end was decided
+  TimePoint last_received_{};
+  TimePoint last_used_{};
+  TimePoint last_write_progress_{};
+  TimePoint ending_since_{};
+  TimePoint input_drained_at_{};
+  TimePoint input_time_{};
+  std::optional<TimePoint> partial_message_since_;
+  std::optional<TimePoint> receive_failing_since_;
+  Duration accept_delay_;
   Phase phase_ = Phase::open;
-  service::IoStatus last_read_ = service::IoStatus::would_block;
-  bool spoke_ = false, writes_ = false, reading_ = false;
+  service::IoStatus last_receive_ = service::IoStatus::would_block;
+  bool has_sent_message_ = false;
+  bool is_write_loop_running_ = false;
+  bool is_processing_input_ = false;
 };
 
 }  // namespace paddlestand::platform
--- /dev/null
+++ b/src/platform/client_registry.cpp
@@ -0,0 +1,118 @@
+#include "client_registry.hpp"
+
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+#include "platform_host.hpp"
+
+namespace paddlestand::platform {
+namespace {
+
+constexpr auto rejection_log_period = std::chrono::seconds(1);
+
+/// The order of eviction, first to last: lingering connections, those without a message yet, the least
+/// recently used.
+auto eviction_order(const Client& client) {
+  return std::tuple(!client.is_lingering(), client.has_sent_message(), client.last_used());
+}
+
+}  // namespace
+
+ClientRegistry::ClientRegistry(PlatformHost& host, RequestHandler& requests, const jsonrpc::CallReader& calls,
+                               const ServerLifecycle& lifecycle, const ResourceLimits& limits)
+    : host_(host), context_{host, requests, *this, calls, lifecycle}, limits_(limits) {}
+
+void ClientRegistry::accept(tcp::socket socket, Duration waited) {
+  if (clients_.size() >= limits_.max_clients && !make_room()) return;  // the socket is closed here
+  const auto client = std::make_shared<Client>(context_, std::move(socket), ++last_number_, waited);
+  clients_.emplace(client->number(), client);
+  client->start();
+}
+
+// The first candidate may just be sending a request. Then the next one is tried, and no further: each look at
+// a connection costs a system call, and there may be thousands of new connections.
+bool ClientRegistry::make_room() {
+  std::shared_ptr<Client> candidate = best_to_evict(nullptr);
+  if (candidate && candidate->may_have_input()) candidate = best_to_evict(candidate);
+  if (!candidate || candidate->may_have_input()) return false;
+  if (!candidate->is_lingering())
+    log_rejection(*candidate, {std::nullopt, jsonrpc::Code::refused, "closed, idle, to make room"});
+  candidate->close("idle, to make room");
+  return true;
+}
+
+std::shared_ptr<Client> ClientRegistry::best_to_evict(const std::shared_ptr<Client>& excluded) const {
+  std::shared_ptr<Client> best;
+  for (const auto& [number, client] : clients_) {
+    if (!client->is_idle() || client == excluded) continue;
+    if (!best || eviction_order(*client) < eviction_order(*best)) best = client;
+  }
+  return best;
+}
+
+void ClientRegistry::sweep(TimePoint now) {
+  const Clients clients = all();
+  std::size_t buffered_bytes = 0;
+  for (const auto& client : clients) buffered_bytes += client->buffered_bytes();
+  for (const auto& client : clients) client->check_timeouts(now);
+  if (buffered_bytes > limits_.max_buffered_bytes) close_largest_holders(clients, buffered_bytes);
+}
+
+void ClientRegistry::close_largest_holders(Clients clients, std::size_t buffered_bytes) {
+  while (buffered_bytes > limits_.max_buffered_bytes && !clients.empty()) {
+    const auto largest = std::max_element(clients.begin(), clients.end(), [](const auto& a, const auto& b) {
+      return a->buffered_bytes() < b->buffered_bytes();
+    });
+    const std::size_t bytes = (*largest)->buffered_bytes();
+    if (bytes == 0) return;
+    buffered_bytes -= bytes;
+    host_.log().warn("backlog", "client " + std::to_string((*largest)->number()) + " closed: it holds " +
+                                    std::to_string(bytes) + " bytes");
+    (*largest)->close("holds the most unread bytes");
+    clients.erase(largest);
+  }
+}
+
+void ClientRegistry::finish_idle() {
+  for (const auto& client : all()) client->finish_if_idle();
+}
+
+void ClientRegistry::close_all() {
+  for (const auto& client : all()) {
+    if (client->is_open() && !client->is_idle()) {
+      host_.count(core::Violation::closed_with_open_requests, "client " + std::to_string(client->number()));
+    }
+    client->close("the process ends");
+  }
+}
+
+std::size_t ClientRegistry::unwritten_bytes() const {
+  std::size_t bytes = 0;
+  for (const auto& [number, client] : clients_) bytes += client->unwritten_bytes();
+  return bytes;
+}
+
+// Closing a connection removes it from the map: callers iterate over a copy.
+ClientRegistry::Clients ClientRegistry::all() const {
+  Clients clients;
+  clients.reserve(clients_.size());
+  for (const auto& [number, client] : clients_) clients.push_back(client);
+  return clients;
+}
+
+void ClientRegistry::log_rejection(const Client& client, const jsonrpc::Problem& problem) {
+  ++rejections_;
+  if (host_.now() < rejection_logged_at_ + rejection_log_period) return;
+  rejection_logged_at_ = host_.now();
+  host_.log().info("turned away", "client " + std::to_string(client.number()) + ": " + problem.text + "; " +
+                                      std::to_string(rejections_) + " so far");
+}
+
+void ClientRegistry::log_close(const Client& client, std::string_view reason, std::size_t open_requests) {
+  if (open_requests == 0 && !host_.is_tracing()) return;
+  host_.log().info("client closed", "client " + std::to_string(client.number()) + ": " + std::string(reason) +
+                                        "; " + std::to_string(open_requests) + " requests open");
+}
+
+}  // namespace paddlestand::platform
--- /dev/null
+++ b/src/platform/client_registry.hpp
@@ -0,0 +1,67 @@
+/// All connections of clients: admission within the bound of descriptors, time limits, memory held for them.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <map>
+#include <memory>
+#include <string_view>
+#include <vector>
+
+#include "client.hpp"
+#include "resource_limits.hpp"
+
+namespace paddlestand::platform {
+
+/// Owns the connections. Its arguments must outlive it.
+class ClientRegistry {
+ public:
+  using tcp = boost::asio::ip::tcp;
+
+  ClientRegistry(PlatformHost& host, RequestHandler& requests, const jsonrpc::CallReader& calls,
+                 const ServerLifecycle& lifecycle, const ResourceLimits& limits);
+
+  /// Starts a connection, which `waited` for so long before it was accepted. At the limit an idle one is
+  /// closed for it; where there is none, the new one is closed unread.
+  void accept(tcp::socket socket, Duration waited);
+  /// Ends the connections whose time limits have passed, and those that hold most where all together hold too
+  /// much.
+  void sweep(TimePoint now);
+  /// Ends all idle connections in an orderly way.
+  void finish_idle();
+  /// Closes all connections at once: the process ends.
+  void close_all();
+
+  [[nodiscard]] std::size_t size() const { return clients_.size(); }
+  [[nodiscard]] bool is_empty() const { return clients_.empty(); }
+  [[nodiscard]] std::size_t unwritten_bytes() const;
+  /// Input that was received after the end of its connection had been decided.
+  [[nodiscard]] std::size_t dropped_bytes() const { return dropped_bytes_; }
+
+  // ---- For connections ----
+
+  void remove(const Client& client) { clients_.erase(client.number()); }
+  void count_dropped(std::size_t bytes) { dropped_bytes_ += bytes; }
+  /// Counts a connection that is ended for a fault, and logs that once a second at most.
+  void log_rejection(const Client& client, const jsonrpc::Problem& problem);
+  /// Logs a close where requests were open; else with --trace only.
+  void log_close(const Client& client, std::string_view reason, std::size_t open_requests);
+
+ private:
+  using Clients = std::vector<std::shared_ptr<Client>>;
+
+  bool make_room();
+  [[nodiscard]] std::shared_ptr<Client> best_to_evict(const std::shared_ptr<Client>& excluded) const;
+  void close_largest_holders(Clients clients, std::size_t buffered_bytes);
+  [[nodiscard]] Clients all() const;
+
+  PlatformHost& host_;
+  ClientContext context_;
+  ResourceLimits limits_;
+  std::map<std::uint64_t, std::shared_ptr<Client>> clients_;  // by number, in the order of their arrival
+  std::uint64_t last_number_ = 0;
+  std::size_t dropped_bytes_ = 0;
+  std::uint64_t rejections_ = 0;
+  TimePoint rejection_logged_at_{};
+};
+
+}  // namespace paddlestand::platform
--- a/src/platform/engine_connection.cpp
+++ b/src/platform/engine_connection.cpp
@@ -1,6 +1,9 @@
 #include "engine_connection.hpp"
 
-#include "platform_server.hpp"
+#include <utility>
+
+#include "core/connection_policy.hpp"
+#include "platform_host.hpp"
 #include "service/spawn.hpp"
 
 namespace paddlestand::platform {
@@ -9,279 +12,290 @@
 using service::IoResult;
 using service::IoStatus;
 
-EngineConnection::EngineConnection(PlatformServer& platform, EngineId engine, tcp::endpoint at,
-                                   core::ConnectionId number)
-    : platform_(platform),
-      engine_(engine),
-      at_(std::move(at)),
-      number_(number),
-      socket_(platform.io()),
+EngineConnection::EngineConnection(PlatformHost& host, EngineConnectionListener& listener,
+                                   EngineConnectionTarget target)
+    : host_(host),
+      listener_(listener),
+      target_(std::move(target)),
+      socket_(host.io()),
       reader_(engine_frames::Side::engine),
-      opened_(platform.reading()) {
-  heard_ = used_ = opened_;
-}
+      opened_at_(host.now()),
+      last_received_(opened_at_),
+      last_used_(opened_at_) {}
 
 void EngineConnection::start() {
-  service::spawn_with(platform_.io(), [self = shared_from_this()] { return self->run(); });
+  service::spawn_with(host_.io(), [self = shared_from_this()] { return self->run(); });
 }
 
-// An orderly close goes out behind what the socket still holds, which an engine that does not read never
-// takes: its attempts would run on there while their requests are sent elsewhere (incident 32). A reset
-// passes.
+// An orderly close is transmitted behind what the socket still holds. An engine that does not read never gets
+// it: attempts would run on there while their requests are sent elsewhere. A reset does not wait.
 void EngineConnection::close() {
-  closed_ = true;
-  const bool all_has_left = queue_.empty() && socket_.unsent_bytes() == 0;
-  all_has_left ? socket_.close() : socket_.reset();
+  is_closed_ = true;
+  const bool everything_transmitted = queue_.is_empty() && socket_.unsent_bytes() == 0;
+  if (everything_transmitted) {
+    socket_.close();
+  } else {
+    socket_.reset();
+  }
   queue_.clear();
 }
 
-void EngineConnection::lost(core::ChannelLossReason why, const std::string& what) {
-  if (closed_) return;
-  platform_.connection_lost(shared_from_this(), why, what);
+void EngineConnection::lose(core::ChannelLossReason reason, const std::string& description) {
+  if (is_closed_) return;
+  listener_.on_lost(shared_from_this(), reason, description);
 }
 
-// A close that is here already, and not read yet in this turn: a request written now would be reset, and
-// nobody could say that it never ran.
-bool EngineConnection::ended() {
-  if (closed_ || !up_) return closed_;
+// Finds a close that was not read yet: a request written now would be reset, and nobody could say that it
+// never ran.
+bool EngineConnection::is_closed_by_engine() {
+  if (is_closed_ || !is_connected_) return is_closed_;
   char next{};
   const IoStatus status = socket_.peek({&next, 1}).status;
   return status == IoStatus::end_of_input || status == IoStatus::ended;
 }
 
-void EngineConnection::leave(TimePoint now) {
-  --channels_;
-  used_ = now;
+void EngineConnection::remove_stream(TimePoint now) {
+  --stream_count_;
+  last_used_ = now;
+}
+
+void EngineConnection::end_stream(core::StreamId stream) {
+  stream_table_.close(stream);
+  queue_.withdraw_commands(stream);
 }
 
 // ---- Connecting and reading ----
 
 asio::awaitable<bool> EngineConnection::connect() {
+  using ConnectRetry = EngineConnectionListener::ConnectRetry;
   const auto failure = co_await service::connect_before(
-      socket_, at_, opened_ + platform_.connect_time(), [this] { return closed_; },
+      socket_, target_.address, opened_at_ + target_.connect_timeout, [this] { return is_closed_; },
       [this](const service::ConnectFailure& why, bool again) {
-        platform_.log_connect_failure(engine_, why.error, again);
+        listener_.on_connect_failure(target_.engine, why.error, again ? ConnectRetry::yes : ConnectRetry::no);
       });
-  if (failure && !closed_) lost(service::loss_of(*failure), failure->error.message());
-  co_return !failure && !closed_;
+  if (failure && !is_closed_) lose(service::loss_of(*failure), failure->error.message());
+  co_return !failure && !is_closed_;
 }
 
 asio::awaitable<void> EngineConnection::run() {
   const auto self = shared_from_this();
   if (!co_await connect()) co_return;
-  up_ = true;
-  heard_ = platform_.reading();
-  platform_.connection_up(self);
+  is_connected_ = true;
+  last_received_ = host_.now();
+  listener_.on_connected(self);
   IoStatus last = IoStatus::would_block;
-  while (!closed_) {
+  while (!is_closed_) {
     co_await socket_.wait_to_receive(last);
-    if (closed_) co_return;
-    last = receive_some();
+    if (is_closed_) co_return;
+    last = receive_available();
   }
 }
 
-IoStatus EngineConnection::receive_some() {
-  const auto scratch = platform_.scratch();
-  const IoResult got = socket_.receive(scratch);
-  switch (got.status) {
-    case IoStatus::progress: take({scratch.data(), got.bytes}); break;
-    case IoStatus::end_of_input: lost(core::ChannelLossReason::closed, "the engine closed it"); break;
-    case IoStatus::ended: lost(core::ChannelLossReason::closed, "receive: " + got.error.message()); break;
+IoStatus EngineConnection::receive_available() {
+  const auto scratch = host_.scratch();
+  const IoResult received = socket_.receive(scratch);
+  switch (received.status) {
+    case IoStatus::progress: process({scratch.data(), received.bytes}); break;
+    case IoStatus::end_of_input: lose(core::ChannelLossReason::closed, "the engine closed it"); break;
+    case IoStatus::ended:
+      lose(core::ChannelLossReason::closed, "receive: " + received.error.message());
+      break;
     case IoStatus::would_block:
     case IoStatus::retry_later: break;
   }
-  return got.status;
-}
-
-// What is wrong with it, or nothing.
-std::string EngineConnection::take_frame(engine_frames::Frame frame) {
-  // What nobody waits for is passed over: a second copy, an answer behind a give-up, an unknown id.
-  const auto channel = table_.channel_of(frame.id);
-  auto answer = engine_frames::read_answer(std::move(frame));
-  if (const auto* on_violation = std::get_if<engine_frames::Broken>(&answer)) return on_violation->what;
-  if (!channel) {
-    platform_.frame_without_stream(*this, std::get<engine_frames::Answer>(answer));
-    return {};
-  }
-  return platform_.answered(*this, *channel, std::move(std::get<engine_frames::Answer>(answer)));
+  return received.status;
 }
 
-bool EngineConnection::take(std::string_view bytes) {
-  heard_ = platform_.reading();
+void EngineConnection::process(std::string_view bytes) {
+  last_received_ = host_.now();
   reader_.feed(bytes);
-  while (!closed_) {
+  while (!is_closed_) {
     auto next = reader_.next();
     if (std::holds_alternative<std::monostate>(next)) break;
-    std::string wrong;
-    if (auto* frame = std::get_if<engine_frames::Frame>(&next)) {
-      inside_since_.reset();  // a whole one came: the rest of the next is awaited from here on
-      wrong = take_frame(std::move(*frame));
-    } else {
-      wrong = std::get<engine_frames::Broken>(next).what;
-    }
-    if (!wrong.empty()) {
-      lost(core::ChannelLossReason::protocol_error, wrong);
-      return false;
+    if (const auto error = process_next(std::move(next))) {
+      lose(core::ChannelLossReason::protocol_error, error->description);
+      return;
     }
   }
-  if (closed_) return false;
+  if (is_closed_) return;
   if (!reader_.inside()) {
-    inside_since_.reset();
-  } else if (!inside_since_) {
-    inside_since_ = heard_;
+    partial_frame_since_.reset();
+  } else if (!partial_frame_since_) {
+    partial_frame_since_ = last_received_;
   }
-  return true;
+}
+
+std::optional<ProtocolError> EngineConnection::process_next(
+    std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken> next) {
+  if (const auto* malformed = std::get_if<engine_frames::Broken>(&next))
+    return ProtocolError{ProtocolError::Kind::malformed_frame, malformed->what};
+  partial_frame_since_.reset();  // it was completed: the time limit of the next one begins anew
+  return process_frame(std::move(std::get<engine_frames::Frame>(next)));
+}
+
+std::optional<ProtocolError> EngineConnection::process_frame(engine_frames::Frame frame) {
+  const auto channel = stream_table_.channel_of(frame.id);
+  auto answer = engine_frames::read_answer(std::move(frame));
+  if (const auto* malformed = std::get_if<engine_frames::Broken>(&answer))
+    return ProtocolError{ProtocolError::Kind::malformed_answer, malformed->what};
+  if (!channel) {
+    listener_.on_unmatched_frame(*this, std::get<engine_frames::Answer>(answer));
+    return std::nullopt;
+  }
+  return listener_.on_answer(*this, *channel, std::move(std::get<engine_frames::Answer>(answer)));
 }
 
 // ---- Writing ----
 
-core::WriteResult EngineConnection::send(core::ChannelId channel, core::StreamId id, std::string frame,
-                                         TimePoint made) {
-  if (send_failed_) return core::WriteResult::failed;
-  queue_.push({channel, id, false, std::move(frame), made});
-  if (writes_) return core::WriteResult::partial;
-  being_sent_ = channel;
+core::WriteResult EngineConnection::send(core::ChannelId channel, core::StreamId stream, std::string frame,
+                                         TimePoint built_at) {
+  if (has_send_failed_) return core::WriteResult::failed;
+  queue_.push({channel, stream, false, std::move(frame), built_at});
+  if (is_write_loop_running_) return core::WriteResult::partial;
+  channel_in_send_ = channel;
   const IoStatus status = write_pending();
-  const bool dropped = !std::exchange(being_sent_, std::nullopt);
-  if (dropped) return core::WriteResult::suppressed;
+  const bool was_withdrawn = !std::exchange(channel_in_send_, std::nullopt);
+  if (was_withdrawn) return core::WriteResult::suppressed;
   if (status == IoStatus::progress) return core::WriteResult::complete;
+  const bool is_started = queue_.is_front_started();
   if (status == IoStatus::ended) {
-    const bool begun = queue_.front_begun();
-    sending_failed(send_error_);
-    return begun ? core::WriteResult::complete : core::WriteResult::failed;
+    fail_sending(send_error_);
+    return is_started ? core::WriteResult::complete : core::WriteResult::failed;
   }
-  const bool begun = queue_.front_begun();
-  write_later();
-  return begun ? core::WriteResult::complete : core::WriteResult::partial;
+  start_write_loop();
+  return is_started ? core::WriteResult::complete : core::WriteResult::partial;
 }
 
-void EngineConnection::send_command(core::StreamId id, std::string frame) {
-  push_command({0, id, false, std::move(frame), platform_.reading()});
+void EngineConnection::send_command(core::StreamId stream, std::string frame) {
+  push_command({0, stream, false, std::move(frame), host_.now()});
 }
 
-void EngineConnection::send_cancel(core::StreamId id, std::string frame) {
-  push_command({0, id, true, std::move(frame), platform_.reading()});
+void EngineConnection::send_cancel(core::StreamId stream, std::string frame) {
+  push_command({0, stream, true, std::move(frame), host_.now()});
 }
 
 void EngineConnection::push_command(FrameQueue::Frame frame) {
-  if (closed_ || !up_ || send_failed_) return;
+  if (is_closed_ || !is_connected_ || has_send_failed_) return;
   queue_.push(std::move(frame));
-  if (writes_) return;
+  if (is_write_loop_running_) return;
   const IoStatus status = write_pending();
   if (status == IoStatus::ended) {
-    sending_failed(send_error_);
+    fail_sending(send_error_);
   } else if (status != IoStatus::progress) {
-    write_later();
+    start_write_loop();
   }
 }
 
-void EngineConnection::end_stream(core::StreamId id) {
-  table_.close(id);
-  queue_.withdraw_commands(id);
-}
-
-bool EngineConnection::cancel_has_left(core::StreamId id) {
-  const auto written = cancels_.find(id);
-  if (closed_) return true;
-  if (written == cancels_.end()) return false;
-  return written_bytes_ - socket_.unsent_bytes() >= written->second;
-}
-
-void EngineConnection::write_later() {
-  writes_ = true;
-  service::spawn_with(platform_.io(), [self = shared_from_this()] { return self->write_on(); });
-}
-
-// Nothing more can be sent, but answers may be here that were on their way.
-void EngineConnection::sending_failed(const error_code& error) {
-  if (send_failed_) return;
-  send_failed_ = true;
-  retire();
-  queue_.clear();
-  service::spawn_with(platform_.io(), [self = shared_from_this(), why = "send: " + error.message()] {
-    return self->read_rest_and_lose(why);
-  });
-}
-
-asio::awaitable<void> EngineConnection::read_rest_and_lose(std::string why) {
-  while (!closed_ && receive_some() == IoStatus::progress) {}
-  lost(core::ChannelLossReason::closed, why);
-  co_return;
+bool EngineConnection::is_cancel_transmitted(core::StreamId stream) {
+  const auto end = cancel_ends_.find(stream);
+  if (is_closed_) return true;
+  if (end == cancel_ends_.end()) return false;
+  return sent_bytes_ - socket_.unsent_bytes() >= end->second;
 }
 
-// The first frame, as it may go out now: one that has waited is made anew, or it would tell the engine of
-// time that its client has not any more, or run for nobody. False where nothing waits.
-bool EngineConnection::begin_next_frame() {
-  while (!closed_ && !queue_.empty()) {
-    FrameQueue::Frame& frame = queue_.front();
-    const TimePoint now = platform_.reading();
-    if (queue_.front_begun() || frame.channel == 0 || now - frame.made <= core::longest_frame_wait)
+// Makes the first frame ready to be sent; false where none is. A frame that has waited is built anew: its
+// deadline would grant the engine time that its client does not have any more.
+bool EngineConnection::prepare_next_frame() {
+  while (!is_closed_ && !queue_.is_empty()) {
+    const FrameQueue::Frame& frame = queue_.front();
+    const TimePoint now = host_.now();
+    if (queue_.is_front_started() || frame.channel == 0 || now - frame.built_at <= core::longest_frame_wait)
       return true;
     const core::ChannelId channel = frame.channel;
-    auto fresh = platform_.frame_for(channel);
-    if (closed_ || queue_.empty() || queue_.front().channel != channel)
-      continue;  // the look changed the queue
-    if (fresh) {
-      queue_.front().bytes = std::move(*fresh);
-      queue_.front().made = now;
+    auto rebuilt = listener_.rebuild_frame(channel);
+    // Rebuilding reads clients' input, which may have changed the queue.
+    if (is_closed_ || queue_.is_empty() || queue_.front().channel != channel) continue;
+    if (rebuilt) {
+      queue_.front().bytes = std::move(*rebuilt);
+      queue_.front().built_at = now;
       return true;
     }
-    queue_.drop_front();
-    if (being_sent_ == channel) {
-      being_sent_.reset();  // its own send() tells
-    } else {
-      platform_.dispatch(core::ChannelLost{channel, core::ChannelLossReason::local});
-    }
+    withdraw_front(channel);
   }
   return false;
 }
 
-void EngineConnection::wrote(std::size_t bytes) {
-  written_bytes_ += bytes;
-  const auto whole = queue_.wrote(bytes);
-  if (whole && whole->cancels) cancels_[whole->stream] = written_bytes_;
+void EngineConnection::withdraw_front(core::ChannelId channel) {
+  queue_.drop_front();
+  if (channel_in_send_ == channel) {
+    channel_in_send_.reset();  // send() returns that
+  } else {
+    host_.dispatch(core::ChannelLost{channel, core::ChannelLossReason::local});
+  }
 }
 
-// Writes until nothing waits (progress), or until it can't now, or never again. Whose first byte goes out
-// later than in its own send() is told.
+// Writes until nothing is pending (progress), or no more can be written now, or never again. A frame whose
+// first byte is sent after its send() has returned is reported to the core.
 IoStatus EngineConnection::write_pending() {
-  while (begin_next_frame()) {
-    const bool first_byte = !queue_.front_begun();
+  while (prepare_next_frame()) {
+    const bool is_first_byte = !queue_.is_front_started();
     const core::ChannelId channel = queue_.front().channel;
-    const IoResult sent = socket_.send(queue_.unwritten());
+    const IoResult sent = socket_.send(queue_.unsent());
     if (sent.status != IoStatus::progress) {
       send_error_ = sent.error;
       return sent.status;
     }
-    wrote(sent.bytes);
-    if (first_byte && channel != 0 && writes_) platform_.dispatch(core::QuerySent{channel});
-    if (closed_) break;
+    note_sent(sent.bytes);
+    if (is_first_byte && channel != 0 && is_write_loop_running_) host_.dispatch(core::QuerySent{channel});
+    if (is_closed_) break;
   }
   return IoStatus::progress;
 }
 
-asio::awaitable<void> EngineConnection::write_on() {
+void EngineConnection::note_sent(std::size_t bytes) {
+  sent_bytes_ += bytes;
+  const auto complete = queue_.consume(bytes);
+  if (complete && complete->is_cancel) cancel_ends_[complete->stream] = sent_bytes_;
+}
+
+void EngineConnection::start_write_loop() {
+  is_write_loop_running_ = true;
+  service::spawn_with(host_.io(), [self = shared_from_this()] { return self->write_loop(); });
+}
+
+bool EngineConnection::is_partial_frame_overdue() {
+  if (queue_.is_empty() || !queue_.is_front_started() || queue_.front().channel == 0) return false;
+  return host_.now() - queue_.front().built_at > core::longest_partial_frame;
+}
+
+asio::awaitable<void> EngineConnection::write_loop() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
-  while (!closed_) {
+  while (!is_closed_) {
     co_await socket_.wait_to_send(last);
-    if (closed_ || send_failed_) co_return;
-    const bool half = !queue_.empty() && queue_.front_begun() && queue_.front().channel != 0;
-    if (half && platform_.reading() - queue_.front().made > core::longest_partial_frame) {
-      lost(core::ChannelLossReason::closed, "a request could not be written whole in time");
+    if (is_closed_ || has_send_failed_) co_return;
+    if (is_partial_frame_overdue()) {
+      lose(core::ChannelLossReason::closed, "a request could not be written whole in time");
       co_return;
     }
     last = write_pending();
-    if (closed_) co_return;
+    if (is_closed_) co_return;
     if (last == IoStatus::ended) {
-      sending_failed(send_error_);
+      fail_sending(send_error_);
       co_return;
     }
     if (last == IoStatus::progress) {
-      writes_ = false;
+      is_write_loop_running_ = false;
       co_return;
     }
   }
 }
 
+// Nothing more can be sent, but answers may have arrived and are read first.
+void EngineConnection::fail_sending(const error_code& error) {
+  if (has_send_failed_) return;
+  has_send_failed_ = true;
+  retire();
+  queue_.clear();
+  service::spawn_with(host_.io(), [self = shared_from_this(), description = "send: " + error.message()] {
+    return self->read_remaining_and_lose(description);
+  });
+}
+
+asio::awaitable<void> EngineConnection::read_remaining_and_lose(std::string description) {
+  while (!is_closed_ && receive_available() == IoStatus::progress) {}
+  lose(core::ChannelLossReason::closed, description);
+  co_return;
+}
+
 }  // namespace paddlestand::platform
--- a/src/platform/engine_connection.hpp
+++ b/src/platform/engine_connection.hpp
@@ -1,8 +1,8 @@
-/// A connection to an engine, carrying many streams: the attempts and probes of the core. It belongs to the
-/// engine's id, never to its address, since a new engine may come at the address of one that is gone.
+/// A connection to an engine, which carries many streams: the attempts and probes of the core. It belongs to
+/// the engine's id, not to its address, since a new engine may start at the address of a removed one.
 ///
-/// A call that fails for a moment ends nothing here (core::verdict_of): connecting is tried again, frames
-/// stay in the queue. What the connection can't carry any more is told to the platform, once.
+/// A call that fails temporarily ends nothing here (core::verdict_of): connecting is retried, frames stay in
+/// the queue. A connection that can't carry anything any more is reported to its listener, once.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,93 +14,119 @@
 #include "core/event_dispatcher.hpp"
 #include "core/stream_table.hpp"
 #include "core/wire_attempts.hpp"
+#include "engine_connection_listener.hpp"
 #include "frame_queue.hpp"
 #include "protocol/engine_frames/frames.hpp"
 #include "service/socket_calls.hpp"
 
 namespace paddlestand::platform {
 
-class PlatformServer;
+class PlatformHost;
 
+/// Where a connection leads, and how it is told apart from others.
+struct EngineConnectionTarget {
+  EngineId engine{};
+  boost::asio::ip::tcp::endpoint address;
+  core::ConnectionId number{};  ///< unique in this process
+  Duration connect_timeout{};
+};
+
+/// One connection. Owned by `EngineConnections`, by the streams on it, and by its own coroutines.
 class EngineConnection : public std::enable_shared_from_this<EngineConnection> {
  public:
-  using tcp = boost::asio::ip::tcp;
-
-  /// `number`: its own among all of this process, for the log.
-  EngineConnection(PlatformServer& platform, EngineId engine, tcp::endpoint at, core::ConnectionId number);
+  /// `host` and `listener` must outlive it.
+  EngineConnection(PlatformHost& host, EngineConnectionListener& listener, EngineConnectionTarget target);
 
+  /// Begins to connect.
   void start();
-  /// Gives up all that is open on it. What has not left this machine never does: its end must not wait behind
-  /// bytes that an engine does not read.
+  /// Closes it, which gives up every stream on it. Bytes that were not transmitted yet never are: the close
+  /// must not wait behind bytes that an engine does not read.
   void close();
 
-  [[nodiscard]] EngineId engine() const { return engine_; }
-  [[nodiscard]] core::ConnectionId number() const { return number_; }
-  [[nodiscard]] bool up() const { return up_; }
-  [[nodiscard]] bool closed() const { return closed_; }
-  [[nodiscard]] core::StreamTable& table() { return table_; }
-  [[nodiscard]] const core::StreamTable& table() const { return table_; }
-  [[nodiscard]] std::size_t streams() const { return channels_; }
-  [[nodiscard]] TimePoint opened() const { return opened_; }
-  [[nodiscard]] TimePoint heard() const { return heard_; }  // its last bytes, or when it came up
-  [[nodiscard]] TimePoint used() const { return used_; }  // when its last stream left
-  // Takes no new stream: what was given up on it may still be answered, or it is silent.
-  [[nodiscard]] bool retired() const { return retired_; }
-  void retire() { retired_ = true; }
-  // The engine's close is here, and not read yet.
-  [[nodiscard]] bool ended();
-  // Since when the rest of a frame is awaited.
-  [[nodiscard]] std::optional<TimePoint> stalled_since() const { return inside_since_; }
-
-  void join() { ++channels_; }
-  void leave(TimePoint now);
-
-  // A frame counts from its first byte on: `whole` says that this went out, `partly` that it waits behind
-  // others and can still be withdrawn.
-  // `made`: when its deadline was reckoned.
-  core::WriteResult send(core::ChannelId channel, core::StreamId id, std::string frame, TimePoint made);
-  /// About a stream that is open; dropped unsent at its end.
-  void send_command(core::StreamId id, std::string frame);
-  /// The last command about a stream; no engine answers it. See cancel_has_left().
-  void send_cancel(core::StreamId id, std::string frame);
-  FrameQueue::Withdrawn withdraw(core::ChannelId channel) { return queue_.withdraw(channel); }
-  /// The stream's end: what comes for it is passed over, and what waits to be said of it is not said.
-  void end_stream(core::StreamId id);
-  /// Whether the cancel that was sent for a stream has left this machine.
-  [[nodiscard]] bool cancel_has_left(core::StreamId id);
+  [[nodiscard]] EngineId engine() const { return target_.engine; }
+  [[nodiscard]] core::ConnectionId number() const { return target_.number; }
+  [[nodiscard]] bool is_connected() const { return is_connected_; }
+  [[nodiscard]] bool is_closed() const { return is_closed_; }
+  [[nodiscard]] core::StreamTable& stream_table() { return stream_table_; }
+  [[nodiscard]] const core::StreamTable& stream_table() const { return stream_table_; }
+  [[nodiscard]] TimePoint opened_at() const { return opened_at_; }
+  /// When bytes last arrived, or when it was established.
+  [[nodiscard]] TimePoint last_received() const { return last_received_; }
+  /// When its last stream ended.
+  [[nodiscard]] TimePoint last_used() const { return last_used_; }
+  /// Since when the missing bytes of a frame are awaited.
+  [[nodiscard]] std::optional<TimePoint> partial_frame_since() const { return partial_frame_since_; }
+  /// Whether the engine has closed it, read already or not.
+  [[nodiscard]] bool is_closed_by_engine();
+
+  /// Whether it accepts no further streams.
+  [[nodiscard]] bool is_retired() const { return is_retired_; }
+  /// Accept no further streams: a cancelled one may still be answered, or the connection is unreliable.
+  void retire() { is_retired_ = true; }
+
+  [[nodiscard]] std::size_t stream_count() const { return stream_count_; }
+  void add_stream() { ++stream_count_; }
+  void remove_stream(TimePoint now);
+
+  /// Sends the frame that opens a stream, which was built at `built_at`. The result speaks of its first byte:
+  /// `complete` says that this was sent, `partial` that the frame waits behind others and can still be
+  /// withdrawn.
+  core::WriteResult send(core::ChannelId channel, core::StreamId stream, std::string frame,
+                         TimePoint built_at);
+  /// Sends a command about an open stream; it is dropped unsent where the stream ends before.
+  void send_command(core::StreamId stream, std::string frame);
+  /// Sends the last command about a stream, to which engines send no answer. See is_cancel_transmitted().
+  void send_cancel(core::StreamId stream, std::string frame);
+  /// Withdraws the frame that opens a stream, where no byte of it was sent.
+  FrameQueue::WithdrawResult withdraw(core::ChannelId channel) { return queue_.withdraw(channel); }
+  /// Ends a stream: what arrives for it is dropped, and commands about it that wait are not sent.
+  void end_stream(core::StreamId stream);
+  /// Whether the cancel of a stream has left this machine, or the connection is closed.
+  [[nodiscard]] bool is_cancel_transmitted(core::StreamId stream);
 
  private:
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<bool> connect();
-  boost::asio::awaitable<void> write_on();
-  boost::asio::awaitable<void> read_rest_and_lose(std::string why);
-  service::IoStatus receive_some();
-  service::IoStatus write_pending();
-  bool begin_next_frame();
-  void wrote(std::size_t bytes);
+  service::IoStatus receive_available();
+  void process(std::string_view bytes);
+  std::optional<ProtocolError> process_next(
+      std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken> next);
+  std::optional<ProtocolError> process_frame(engine_frames::Frame frame);
+
   void push_command(FrameQueue::Frame frame);
-  void write_later();
-  void sending_failed(const boost::system::error_code& error);
-  void lost(core::ChannelLossReason why, const std::string& what);
-  bool take(std::string_view bytes);
-  std::string take_frame(engine_frames::Frame frame);
-
-  PlatformServer& platform_;
-  EngineId engine_;
-  tcp::endpoint at_;
-  core::ConnectionId number_;
+  bool prepare_next_frame();
+  void withdraw_front(core::ChannelId channel);
+  service::IoStatus write_pending();
+  void note_sent(std::size_t bytes);
+  void start_write_loop();
+  boost::asio::awaitable<void> write_loop();
+  [[nodiscard]] bool is_partial_frame_overdue();
+
+  void fail_sending(const boost::system::error_code& error);
+  boost::asio::awaitable<void> read_remaining_and_lose(std::string description);
+  void lose(core::ChannelLossReason reason, const std::string& description);
+
+  PlatformHost& host_;
+  EngineConnectionListener& listener_;
+  EngineConnectionTarget target_;
   service::StreamSocket socket_;
   engine_frames::FrameReader reader_;
-  core::StreamTable table_;
-  std::size_t channels_ = 0;
+  core::StreamTable stream_table_;
+  std::size_t stream_count_ = 0;
   FrameQueue queue_;
-  std::uint64_t written_bytes_ = 0;  // that the socket took
-  std::map<core::StreamId, std::uint64_t> cancels_;  // written whole: up to which of these; a few at most
+  std::uint64_t sent_bytes_ = 0;  // accepted by the socket
+  std::map<core::StreamId, std::uint64_t> cancel_ends_;  // of cancels sent: their ends, as sent_bytes_; a few
   boost::system::error_code send_error_;
-  TimePoint opened_{}, heard_{}, used_{};
-  std::optional<core::ChannelId> being_sent_;  // in its own send(), while no byte of it went out
-  std::optional<TimePoint> inside_since_;
-  bool up_ = false, closed_ = false, retired_ = false, writes_ = false, send_failed_ = false;
+  TimePoint opened_at_{};
+  TimePoint last_received_{};
+  TimePoint last_used_{};
+  std::optional<core::ChannelId> channel_in_send_;  // within send(), while no byte of its frame was sent
+  std::optional<TimePoint> partial_frame_since_;
+  bool is_connected_ = false;
+  bool is_closed_ = false;
+  bool is_retired_ = false;
+  bool is_write_loop_running_ = false;
+  bool has_send_failed_ = false;
 };
 
 }  // namespace paddlestand::platform
--- a/src/platform/engine_connections.hpp
+++ b/src/platform/engine_connections.hpp
@@ -1,5 +1,5 @@
-/// All connections to engines: which one a stream goes on, which are opened and closed within the bound of
-/// descriptors, and what attempts engines may have on them.
+/// All connections to engines: which one a stream is placed on, which are opened and closed within the bound
+/// of descriptors, and what attempts engines may have on them.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,44 +13,55 @@
 
 namespace paddlestand::platform {
 
-class PlatformServer;
+class PlatformHost;
 
+/// Owns the connections. `host` and `listener` must outlive it.
 class EngineConnections {
  public:
   using tcp = boost::asio::ip::tcp;
   using Connection = std::shared_ptr<EngineConnection>;
 
-  EngineConnections(PlatformServer& platform, std::size_t streams_per_connection)
-      : platform_(platform), streams_per_connection_(streams_per_connection) {}
+  struct Settings {
+    std::size_t streams_per_connection = 1;
+    std::size_t max_connections = 0;  ///< to all engines together
+    Duration connect_timeout{};
+  };
+
+  EngineConnections(PlatformHost& host, EngineConnectionListener& listener, Settings settings)
+      : host_(host), listener_(listener), settings_(settings) {}
 
-  /// So many at the most, to all engines together.
-  void allow(std::size_t most) { most_ = most; }
-  [[nodiscard]] std::size_t most() const { return most_; }
   [[nodiscard]] std::size_t size() const { return size_; }
-  [[nodiscard]] const std::map<EngineId, std::vector<Connection>>& all() const { return all_; }
+  /// By engine; no entry is empty.
+  [[nodiscard]] const std::map<EngineId, std::vector<Connection>>& all() const { return connections_; }
 
-  /// Where a stream with this id goes (core::choose_connection), or nothing. It may be one that still has to
-  /// come up. `engines`: how many there are, which share the bound.
-  Connection place(EngineId engine, const tcp::endpoint& at, core::ChannelUse use, core::StreamId id,
+  /// The connection for a stream with this id (core::choose_connection), which may still have to be
+  /// established; null where there is none. `engines`: how many share the bound.
+  Connection place(EngineId engine, const tcp::endpoint& address, core::ChannelUse use, core::StreamId stream,
                    std::size_t engines);
+  /// Null where there is none with this number.
   [[nodiscard]] Connection find(core::ConnectionId number) const;
-  /// Closes it, which gives up what is open on it.
+  /// Closes a connection, which gives up the streams on it.
   void drop(const Connection& connection);
-  /// They lead to a process that is no more: nothing goes out on them to the one that comes after it.
+  /// The engine's process has ended: its connections accept no further streams, and are closed once they
+  /// carry none, so that nothing reaches a successor on them.
   void retire_all_of(EngineId engine);
 
+  /// The attempts that engines may have.
   [[nodiscard]] core::WireAttempts& attempts() { return attempts_; }
+  [[nodiscard]] const core::WireAttempts& attempts() const { return attempts_; }
 
  private:
-  Connection open(EngineId engine, const tcp::endpoint& at);
+  [[nodiscard]] core::ConnectionLimits limits_for(std::size_t engines) const;
+  Connection open(EngineId engine, const tcp::endpoint& address);
   [[nodiscard]] Connection longest_idle() const;
 
-  PlatformServer& platform_;
-  std::size_t streams_per_connection_;
-  std::size_t most_ = 0, size_ = 0;
-  std::map<EngineId, std::vector<Connection>> all_;  // no entry is empty
+  PlatformHost& host_;
+  EngineConnectionListener& listener_;
+  Settings settings_;
+  std::size_t size_ = 0;
+  std::map<EngineId, std::vector<Connection>> connections_;
   core::WireAttempts attempts_;
-  core::ConnectionId last_ = 0;
+  core::ConnectionId last_number_ = 0;
 };
 
 }  // namespace paddlestand::platform
--- /dev/null
+++ b/src/platform/engine_dispatch.cpp
@@ -0,0 +1,309 @@
+#include "engine_dispatch.hpp"
+
+#include <algorithm>
+
+#include "client.hpp"
+#include "endpoint.hpp"
+#include "hex.hpp"
+
+namespace paddlestand::platform {
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr Duration deadline_tolerance = 150ms;  // by which an engine may be granted too much time
+constexpr std::uint64_t probe_id_prefix = std::uint64_t{0xf1} << 56U;  // unlike most requests' trace ids
+
+}  // namespace
+
+EngineDispatch::EngineDispatch(PlatformHost& host, RequestHandler& requests, const EndpointList& endpoints,
+                               const PlatformConfig& config, std::size_t max_connections)
+    : host_(host),
+      requests_(requests),
+      endpoints_(endpoints),
+      config_(config),
+      connections_(host, *this,
+                   {config.streams_per_connection, max_connections, config.core.connect_timeout}) {}
+
+EngineStream* EngineDispatch::find(core::ChannelId channel) {
+  const auto found = streams_.find(channel);
+  return found == streams_.end() ? nullptr : &found->second;
+}
+
+std::string* EngineDispatch::find_result(core::ChannelId channel) {
+  EngineStream* const stream = find(channel);
+  return stream == nullptr ? nullptr : &stream->answer.body();
+}
+
+// ---- Opening ----
+
+// The id that a channel's frames will have; nothing where its request is over.
+std::optional<core::StreamId> EngineDispatch::stream_id_for(const core::OpenChannel& action) {
+  if (action.use == core::ChannelUse::probe) return probe_id_prefix | ++last_probe_;
+  return requests_.trace_of(action.query);
+}
+
+// Skips connections that the engine has closed: a request written into one would be reset, and nobody could
+// say that it never ran.
+EngineDispatch::Connection EngineDispatch::connection_for(EngineId engine, core::ChannelUse use,
+                                                          core::StreamId stream) {
+  const auto address = endpoints_.address(engine);
+  if (!address) return nullptr;
+  for (;;) {
+    const auto connection = connections_.place(engine, endpoint_of(*address), use, stream, endpoints_.size());
+    if (!connection || !connection->is_closed_by_engine()) return connection;
+    on_lost(connection, core::ChannelLossReason::closed, "ended");
+  }
+}
+
+void EngineDispatch::open(const core::OpenChannel& action) {
+  const auto id = stream_id_for(action);
+  const auto connection = id ? connection_for(action.engine, action.use, *id) : nullptr;
+  if (!connection || !connection->stream_table().reserve(*id, action.channel)) {
+    host_.dispatch(core::ChannelLost{action.channel, core::ChannelLossReason::local});
+    return;
+  }
+  if (connection->stream_table().exhausted()) connection->retire();
+  EngineStream& stream = streams_[action.channel];
+  stream.engine = action.engine;
+  stream.use = action.use;
+  stream.connection = connection;
+  stream.id = *id;
+  connection->add_stream();
+  if (connection->is_connected()) host_.dispatch(core::ChannelOpened{action.channel});
+}
+
+void EngineDispatch::on_connected(const Connection& connection) {
+  std::vector<core::ChannelId> waiting;
+  for (const auto& [channel, stream] : streams_)
+    if (stream.connection == connection && !stream.is_sent) waiting.push_back(channel);
+  for (const core::ChannelId channel : waiting) host_.dispatch(core::ChannelOpened{channel});
+}
+
+void EngineDispatch::on_connect_failure(EngineId engine, const boost::system::error_code& error,
+                                        ConnectRetry retry) {
+  if (!host_.is_tracing()) return;
+  host_.log().info("connect", "engine " + std::to_string(engine) + ": " + error.message() +
+                                  (retry == ConnectRetry::yes ? "; tried again" : "; given up"));
+}
+
+void EngineDispatch::on_lost(const Connection& connection, core::ChannelLossReason reason,
+                             const std::string& description) {
+  std::vector<core::ChannelId> lost;
+  for (const auto& [channel, stream] : streams_)
+    if (stream.connection == connection) lost.push_back(channel);
+  if (reason == core::ChannelLossReason::protocol_error || !lost.empty() || host_.is_tracing()) {
+    host_.log().info("engine connection", "engine " + std::to_string(connection->engine()) + ": " +
+                                              description + "; " + std::to_string(lost.size()) +
+                                              " streams end");
+  }
+  connections_.drop(connection);
+  for (const core::ChannelId channel : lost) host_.dispatch(core::ChannelLost{channel, reason});
+}
+
+// ---- Sending ----
+
+std::string EngineDispatch::request_frame(const EngineStream& stream, const ClientRequest& request,
+                                          TimePoint now) const {
+  engine_frames::Request fields;
+  fields.id = request.trace;
+  fields.class_name = config_.core.module.classes[request.class_index].name;
+  fields.token = request.token;
+  fields.statement = request.statement;
+  fields.wait = request.deadline - now;
+  fields.memory_mb = stream.memory_mb;
+  fields.rank = stream.priority;
+  std::string frame;
+  engine_frames::put_request(frame, fields);
+  return frame;
+}
+
+std::string EngineDispatch::probe_frame(const EngineStream& stream) const {
+  std::string frame;
+  engine_frames::put_probe(frame, stream.id, !config_.report_names.empty());
+  return frame;
+}
+
+std::optional<std::string> EngineDispatch::rebuild_frame(core::ChannelId channel) {
+  EngineStream* stream = find(channel);
+  if (stream == nullptr) return std::nullopt;
+  if (stream->is_probe()) return probe_frame(*stream);
+  const bool may_dispatch = requests_.may_dispatch(stream->query);
+  stream = find(channel);  // reading the client's input may have changed the table
+  if (stream == nullptr) return std::nullopt;
+  const ClientRequest* const request = requests_.find(stream->query);
+  if (!may_dispatch || request == nullptr) {
+    abandon_unsent(*stream);
+    return std::nullopt;
+  }
+  stream->last_progress = host_.now();
+  return request_frame(*stream, *request, stream->last_progress);
+}
+
+// No byte of its frame was sent, and none will be.
+void EngineDispatch::abandon_unsent(EngineStream& stream) {
+  stream.is_sent = false;
+  stream.connection->stream_table().release(stream.id);
+  connections_.attempts().ended(stream.id, stream.connection->number());
+}
+
+core::WriteResult EngineDispatch::send(const core::SendQuery& action) {
+  if (!requests_.may_dispatch(action.query)) {
+    if (host_.is_tracing()) {
+      host_.log().info("withheld",
+                       "query " + std::to_string(action.query) + ": its client is gone, or its time");
+    }
+    return core::WriteResult::suppressed;
+  }
+  EngineStream* const stream = find(action.channel);
+  const ClientRequest* const request = requests_.find(action.query);
+  if (stream == nullptr || request == nullptr) return core::WriteResult::failed;
+  if (stream->connection->is_closed()) return core::WriteResult::failed;
+  if (!may_begin_attempt(request->trace)) return core::WriteResult::suppressed;
+  if (!stream->connection->stream_table().open(stream->id, action.channel)) {
+    host_.count(core::Violation::stream_id_used_twice, hex_of(stream->id));
+    return core::WriteResult::suppressed;
+  }
+  return send_attempt(action, *stream, *request);
+}
+
+core::WriteResult EngineDispatch::send_attempt(const core::SendQuery& action, EngineStream& stream,
+                                               const ClientRequest& request) {
+  stream.query = action.query;
+  stream.memory_mb = action.memory_mb;
+  stream.priority = action.priority;
+  stream.is_sent = true;
+  stream.last_progress = host_.now();
+  std::string frame = request_frame(stream, request, stream.last_progress);
+  if (host_.is_tracing()) log_sent(action, stream);
+  connections_.attempts().began(stream.id, stream.connection->number());
+  const core::WriteResult result =
+      stream.connection->send(action.channel, stream.id, std::move(frame), stream.last_progress);
+  if (result == core::WriteResult::failed) {
+    stream.is_sent = false;
+    connections_.attempts().ended(stream.id, stream.connection->number());
+  }
+  check_sent_attempt(stream, request);
+  return result;
+}
+
+// For the core a cancelled attempt is over as soon as its cancel was written. Before the next attempt begins
+// that must hold for the engine too: where the cancel was not transmitted, closing the connection gives the
+// attempt up.
+bool EngineDispatch::may_begin_attempt(std::uint64_t trace) {
+  for (const core::ConnectionId number : connections_.attempts().being_cancelled(trace)) {
+    const auto connection = connections_.find(number);
+    if (connection && !connection->is_cancel_transmitted(trace)) {
+      on_lost(connection, core::ChannelLossReason::closed,
+              "a cancel could not be sent before the next attempt");
+    }
+    connections_.attempts().ended(trace, number);
+  }
+  if (!connections_.attempts().out(trace)) return true;
+  host_.count(core::Violation::second_attempt_out, hex_of(trace));
+  return false;
+}
+
+// Checks the decision to send against the facts once the bytes were sent.
+void EngineDispatch::check_sent_attempt(const EngineStream& stream, const ClientRequest& request) {
+  if (!stream.is_sent) return;
+  if (request.abandoned || !request.client->is_open())
+    host_.count(core::Violation::begun_after_client_left, hex_of(stream.id));
+  if (host_.now() - stream.last_progress > deadline_tolerance)
+    host_.count(core::Violation::deadline_beyond_client, hex_of(stream.id));
+}
+
+core::WriteResult EngineDispatch::send(const core::SendProbe& action) {
+  EngineStream* const stream = find(action.channel);
+  if (stream == nullptr || stream->connection->is_closed()) return core::WriteResult::failed;
+  if (!stream->connection->stream_table().open(stream->id, action.channel))
+    return core::WriteResult::suppressed;
+  stream->is_sent = true;
+  stream->last_progress = host_.now();
+  const core::WriteResult result =
+      stream->connection->send(action.channel, stream->id, probe_frame(*stream), stream->last_progress);
+  if (result == core::WriteResult::failed) stream->is_sent = false;
+  return result;
+}
+
+void EngineDispatch::update_grant(const core::UpdateResourceGrant& action) {
+  EngineStream* const stream = find(action.channel);
+  if (stream == nullptr || !stream->is_active()) return;
+  stream->priority = action.priority;
+  std::string frame;
+  engine_frames::put_priority(frame, stream->id, action.priority);
+  stream->connection->send_command(stream->id, std::move(frame));
+}
+
+// ---- Giving up and closing ----
+
+void EngineDispatch::cancel(const core::CancelOnEngine& action) {
+  EngineStream* const stream = find(action.channel);
+  if (stream == nullptr) return;
+  log_attempt_end(*stream, "cancelled or timed out");
+  give_up(action.channel, *stream);
+  host_.dispatch(core::ChannelLost{action.channel, core::ChannelLossReason::closed});
+}
+
+// From here on the attempt is over for the core; for the engine once its cancel was transmitted, or the
+// connection is closed (may_begin_attempt).
+void EngineDispatch::give_up(core::ChannelId channel, EngineStream& stream) {
+  if (!stream.is_active()) return;
+  stream.is_ended = true;
+  EngineConnection& connection = *stream.connection;
+  if (connection.is_closed()) return;
+  switch (connection.withdraw(channel)) {
+    case FrameQueue::WithdrawResult::withdrawn:
+      connection.stream_table().release(stream.id);
+      connections_.attempts().ended(stream.id, connection.number());
+      return;
+    case FrameQueue::WithdrawResult::partially_sent:
+      // The engine must never get the remaining bytes, and nothing can follow a partial frame.
+      on_lost(stream.connection, core::ChannelLossReason::closed, "a request was given up half written");
+      return;
+    case FrameQueue::WithdrawResult::not_queued: break;
+  }
+  connection.end_stream(stream.id);
+  connection.retire();
+  if (!stream.is_probe()) send_cancel(stream);
+}
+
+void EngineDispatch::send_cancel(const EngineStream& stream) {
+  std::string frame;
+  if (stream.answer.paging()) {
+    engine_frames::put_no_more(frame, stream.id);
+  } else {
+    engine_frames::put_give_up(frame, stream.id);
+  }
+  // Writing may read clients' input and end channels, this one too: the stream is not used after it.
+  const core::StreamId id = stream.id;
+  const Connection connection = stream.connection;
+  connection->send_cancel(id, std::move(frame));
+  if (connection->is_cancel_transmitted(id)) {
+    connections_.attempts().ended(id, connection->number());
+  } else {
+    connections_.attempts().cancelling(id, connection->number());
+  }
+}
+
+void EngineDispatch::close(const core::CloseChannel& action) {
+  const auto found = streams_.find(action.channel);
+  if (found == streams_.end()) return;
+  EngineStream& stream = found->second;
+  const Connection connection = stream.connection;
+  give_up(action.channel, stream);
+  if (!stream.is_sent) connection->stream_table().release(stream.id);
+  streams_.erase(found);
+  connection->remove_stream(host_.now());
+  drop_if_useless(connection);
+}
+
+void EngineDispatch::drop_if_useless(const Connection& connection) {
+  if (connection->is_closed() || connection->stream_count() > 0) return;
+  const bool connects_too_long =
+      !connection->is_connected() && host_.now() - connection->opened_at() >= config_.core.connect_timeout;
+  if (connection->is_retired() || connects_too_long || !endpoints_.address(connection->engine()))
+    connections_.drop(connection);
+}
+
+}  // namespace paddlestand::platform
--- /dev/null
+++ b/src/platform/engine_dispatch.hpp
@@ -0,0 +1,115 @@
+/// The side of the server that faces engines: channels of the core as streams on connections. Actions of the
+/// core become frames; frames of engines become events of the core.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "core/event_dispatcher.hpp"
+#include "endpoint_list.hpp"
+#include "engine_connections.hpp"
+#include "engine_stream.hpp"
+#include "platform_host.hpp"
+#include "request_handler.hpp"
+
+namespace paddlestand::platform {
+
+/// Owns the streams and the connections to engines. Its arguments must outlive it.
+class EngineDispatch : private EngineConnectionListener {
+ public:
+  EngineDispatch(PlatformHost& host, RequestHandler& requests, const EndpointList& endpoints,
+                 const PlatformConfig& config, std::size_t max_connections);
+
+  // ---- Actions of the core ----
+
+  /// Opens a stream for a channel, on a connection that may still have to be established.
+  void open(const core::OpenChannel& action);
+  /// Sends an attempt, where its client still waits and no other attempt of its request is out.
+  core::WriteResult send(const core::SendQuery& action);
+  core::WriteResult send(const core::SendProbe& action);
+  /// Gives up an attempt. Engines send no answer to that: the channel is lost at once.
+  void cancel(const core::CancelOnEngine& action);
+  /// Sends the new priority of an attempt that is out.
+  void update_grant(const core::UpdateResourceGrant& action);
+  /// Ends a channel, giving up its stream where that is still active.
+  void close(const core::CloseChannel& action);
+  /// The body of the channel's complete answer; null where the channel is unknown.
+  [[nodiscard]] std::string* find_result(core::ChannelId channel);
+
+  // ---- For the server ----
+
+  /// The engine's process has ended: nothing more is placed on its connections.
+  void retire_engine(EngineId engine) { connections_.retire_all_of(engine); }
+  /// Closes connections that are idle, useless or stalled.
+  void sweep(TimePoint now);
+  [[nodiscard]] std::size_t connection_count() const { return connections_.size(); }
+  /// Attempts that engines may have.
+  [[nodiscard]] std::size_t attempt_count() const { return connections_.attempts().size(); }
+  /// Frames that belonged to no open stream.
+  [[nodiscard]] std::uint64_t unmatched_frames() const { return unmatched_frames_; }
+
+ private:
+  using Connection = EngineConnections::Connection;
+
+  // EngineConnectionListener.
+  void on_connected(const Connection& connection) override;
+  void on_connect_failure(EngineId engine, const boost::system::error_code& error,
+                          ConnectRetry retry) override;
+  void on_lost(const Connection& connection, core::ChannelLossReason reason,
+               const std::string& description) override;
+  std::optional<ProtocolError> on_answer(EngineConnection& connection, core::ChannelId channel,
+                                         engine_frames::Answer answer) override;
+  void on_unmatched_frame(const EngineConnection& connection, const engine_frames::Answer& answer) override;
+  std::optional<std::string> rebuild_frame(core::ChannelId channel) override;
+
+  [[nodiscard]] EngineStream* find(core::ChannelId channel);
+
+  // Placing and building.
+  std::optional<core::StreamId> stream_id_for(const core::OpenChannel& action);
+  Connection connection_for(EngineId engine, core::ChannelUse use, core::StreamId stream);
+  [[nodiscard]] std::string request_frame(const EngineStream& stream, const ClientRequest& request,
+                                          TimePoint now) const;
+  [[nodiscard]] std::string probe_frame(const EngineStream& stream) const;
+
+  // Sending.
+  core::WriteResult send_attempt(const core::SendQuery& action, EngineStream& stream,
+                                 const ClientRequest& request);
+  bool may_begin_attempt(std::uint64_t trace);
+  void check_sent_attempt(const EngineStream& stream, const ClientRequest& request);
+  void abandon_unsent(EngineStream& stream);
+
+  // Answers.
+  void end_probe(EngineConnection& connection, core::ChannelId channel, EngineStream& stream,
+                 const engine_frames::Answer& answer);
+  std::optional<ProtocolError> continue_answer(EngineConnection& connection, core::ChannelId channel,
+                                               EngineStream& stream, engine_frames::Answer answer);
+  void request_pages(EngineConnection& connection, const EngineStream& stream, std::uint32_t pages);
+  void finish_attempt(EngineConnection& connection, core::ChannelId channel, EngineStream& stream,
+                      core::Ending ending);
+
+  // Ends.
+  void give_up(core::ChannelId channel, EngineStream& stream);
+  void send_cancel(const EngineStream& stream);
+  void drop_if_useless(const Connection& connection);
+  [[nodiscard]] std::vector<Connection> find_stalled(TimePoint now) const;
+  [[nodiscard]] std::vector<Connection> find_expired(TimePoint now) const;
+  [[nodiscard]] bool is_stalled(const EngineConnection& connection, TimePoint now) const;
+  [[nodiscard]] bool is_expired(const EngineConnection& connection, TimePoint now) const;
+
+  void log_sent(const core::SendQuery& action, const EngineStream& stream);
+  void log_attempt_end(const EngineStream& stream, const std::string& how);
+
+  PlatformHost& host_;
+  RequestHandler& requests_;
+  const EndpointList& endpoints_;
+  const PlatformConfig& config_;
+  EngineConnections connections_;
+  std::map<core::ChannelId, EngineStream> streams_;  // ordered: what follows from a loss has one order
+  std::uint64_t last_probe_ = 0;
+  std::uint64_t unmatched_frames_ = 0;
+};
+
+}  // namespace paddlestand::platform
--- a/src/platform/frame_queue.hpp
+++ b/src/platform/frame_queue.hpp
@@ -1,4 +1,4 @@
-/// Frames on their way out of one connection, in order; the first may be half written. No I/O.
+/// Frames on their way out of one connection, in order; the first may be partially sent. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -11,70 +11,70 @@
 
 namespace paddlestand::platform {
 
+/// The outgoing frames of one connection. Bounded by its streams, a few frames for each.
 class FrameQueue {
  public:
   struct Frame {
     core::ChannelId channel{};  ///< of a request or a probe; zero: a command about a stream that was opened
     core::StreamId stream{};
-    bool cancels = false;  ///< a command that ends its stream for the engine
+    bool is_cancel = false;  ///< a command that ends its stream for the engine
     std::string bytes;
-    TimePoint made{};  ///< when its deadline was reckoned
+    TimePoint built_at{};  ///< its deadline is as of this time
   };
-  enum class Withdrawn : std::uint8_t {
-    unknown,  ///< it went out whole, or was never here
-    whole,  ///< no byte of it went out, and none will
-    half  ///< part of it went out: the engine waits for the rest
+  enum class WithdrawResult : std::uint8_t {
+    not_queued,  ///< it was sent completely, or was never here
+    withdrawn,  ///< no byte of it was sent, and none will be
+    partially_sent  ///< the engine waits for the remaining bytes
   };
 
   void push(Frame frame) { frames_.push_back(std::move(frame)); }
-  [[nodiscard]] bool empty() const { return frames_.empty(); }
+  [[nodiscard]] bool is_empty() const { return frames_.empty(); }
   [[nodiscard]] Frame& front() { return frames_.front(); }
-  /// Whether the first frame's first byte went out.
-  [[nodiscard]] bool front_begun() const { return written_ > 0; }
-  [[nodiscard]] std::string_view unwritten() const {
-    return std::string_view(frames_.front().bytes).substr(written_);
+  /// Whether a byte of the first frame was sent.
+  [[nodiscard]] bool is_front_started() const { return sent_bytes_ > 0; }
+  /// The bytes of the first frame that were not sent.
+  [[nodiscard]] std::string_view unsent() const {
+    return std::string_view(frames_.front().bytes).substr(sent_bytes_);
   }
-  /// Drops the first frame, of which nothing was written.
+  /// Drops the first frame, of which nothing was sent.
   void drop_front() { frames_.pop_front(); }
-  /// So much of the first frame went out. Once it is whole it leaves the queue, and is returned.
-  std::optional<Frame> wrote(std::size_t bytes) {
-    written_ += bytes;
-    if (written_ < frames_.front().bytes.size()) return std::nullopt;
-    Frame whole = std::move(frames_.front());
+
+  /// So many further bytes of the first frame were sent. Once it is complete it is removed, and returned.
+  std::optional<Frame> consume(std::size_t bytes) {
+    sent_bytes_ += bytes;
+    if (sent_bytes_ < frames_.front().bytes.size()) return std::nullopt;
+    Frame complete = std::move(frames_.front());
     frames_.pop_front();
-    written_ = 0;
-    return whole;
+    sent_bytes_ = 0;
+    return complete;
   }
-  Withdrawn withdraw(core::ChannelId channel) {
+
+  /// Removes the frame that opens a channel's stream, where no byte of it was sent.
+  WithdrawResult withdraw(core::ChannelId channel) {
     for (auto frame = frames_.begin(); frame != frames_.end(); ++frame) {
       if (frame->channel != channel) continue;
-      if (frame == frames_.begin() && front_begun()) return Withdrawn::half;
+      if (frame == frames_.begin() && is_front_started()) return WithdrawResult::partially_sent;
       frames_.erase(frame);
-      return Withdrawn::whole;
+      return WithdrawResult::withdrawn;
     }
-    return Withdrawn::unknown;
+    return WithdrawResult::not_queued;
   }
-  /// Drops the commands about a stream of which nothing went out: behind its end they would speak of
-  /// something that is over.
+
+  /// Removes the commands about a stream that has ended, those of which no byte was sent.
   void withdraw_commands(core::StreamId stream) {
-    const auto begun = frames_.begin() + (front_begun() ? 1 : 0);
-    frames_.erase(std::remove_if(begun, frames_.end(),
-                                 [&](const Frame& one) { return one.channel == 0 && one.stream == stream; }),
-                  frames_.end());
-  }
-  /// Whether a command that ends this stream for the engine waits here.
-  [[nodiscard]] bool cancels(core::StreamId stream) const {
-    return std::any_of(frames_.begin(), frames_.end(),
-                       [&](const Frame& one) { return one.cancels && one.stream == stream; });
+    const auto first_unsent = frames_.begin() + (is_front_started() ? 1 : 0);
+    const auto is_command = [&](const Frame& frame) { return frame.channel == 0 && frame.stream == stream; };
+    frames_.erase(std::remove_if(first_unsent, frames_.end(), is_command), frames_.end());
   }
+
   void clear() {
     frames_.clear();
-    written_ = 0;
+    sent_bytes_ = 0;
   }
 
  private:
-  std::deque<Frame> frames_;  // bounded by the streams, a few frames each
-  std::size_t written_ = 0;  // of the first
+  std::deque<Frame> frames_;
+  std::size_t sent_bytes_ = 0;  // of the first
 };
 
 }  // namespace paddlestand::platform
--- /dev/null
+++ b/src/platform/graceful_shutdown.cpp
@@ -0,0 +1,90 @@
+#include "graceful_shutdown.hpp"
+
+#include <algorithm>
+
+#include "service/socket_calls.hpp"
+#include "service/spawn.hpp"
+
+namespace paddlestand::platform {
+namespace asio = boost::asio;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr Duration arrival_period = 700ms;  // after SIGTERM requests may still arrive for so long
+// SIGKILL follows no sooner than the longest deadline after that period, of which no more than this counts.
+constexpr Duration max_counted_deadline = 3s;
+constexpr Duration answer_margin = 300ms;  // before SIGKILL, for the last answers to be transmitted
+constexpr Duration exit_margin = 100ms;  // before SIGKILL, for the process to end by itself
+constexpr Duration frequent_sweep_margin = 250ms;  // before SIGKILL: idle connections are ended more often
+constexpr Duration frequent_sweep_period = 20ms;
+
+}  // namespace
+
+Duration termination_grace_period(const std::vector<ClassSettings>& classes) {
+  Duration longest{};
+  for (const ClassSettings& one : classes)
+    longest = std::max(longest, one.deadline.count() > 0 ? one.deadline : max_counted_deadline);
+  return std::min(longest, max_counted_deadline) + arrival_period;
+}
+
+GracefulShutdown::GracefulShutdown(PlatformHost& host, ServerLifecycle& lifecycle,
+                                   service::Listener& listener, ClientRegistry& clients,
+                                   Duration grace_period)
+    : host_(host),
+      lifecycle_(lifecycle),
+      listener_(listener),
+      clients_(clients),
+      grace_period_(grace_period),
+      refuse_timer_(host.io()),
+      idle_timer_(host.io()),
+      stop_timer_(host.io()) {}
+
+void GracefulShutdown::begin() {
+  if (lifecycle_.is_shutting_down()) return;
+  lifecycle_.advance_to(ServerLifecycle::State::terminating);
+  host_.log().info("leave", "requests are taken for a little longer, then what is held is answered");
+  const Duration until_kill = grace_period_ - sweep_period;  // the signal may have been seen so late
+  const Duration until_answered = until_kill - std::min(answer_margin, until_kill / 4);
+  const Duration until_refused = std::min(arrival_period, until_answered);
+  run_after(refuse_timer_, until_refused, [this, time_for_answers = until_answered - until_refused] {
+    listener_.close_when_drained();
+    // Requests that are open at SIGKILL would be lost; refused in time, they can go elsewhere.
+    host_.dispatch(core::BeginShutdown{time_for_answers});
+  });
+  run_after(idle_timer_, until_kill - frequent_sweep_margin,
+            [this] { service::spawn(host_.io(), end_idle_connections_often()); });
+  run_after(stop_timer_, until_kill - std::min(exit_margin, until_kill / 8), [this] {
+    end_idle_connections();
+    host_.stop();
+  });
+}
+
+void GracefulShutdown::run_after(asio::steady_timer& timer, Duration delay, std::function<void()> step) {
+  timer.expires_after(std::chrono::duration_cast<asio::steady_timer::duration>(delay));
+  timer.async_wait([step = std::move(step)](const boost::system::error_code& error) {
+    if (!error) step();
+  });
+}
+
+void GracefulShutdown::on_requests_finished() {
+  host_.log().info("left", "nothing is held any more");
+  lifecycle_.advance_to(ServerLifecycle::State::finished);
+}
+
+void GracefulShutdown::end_idle_connections() {
+  if (!lifecycle_.is_shutting_down() || listener_.is_open()) return;
+  clients_.finish_idle();
+  if (lifecycle_.state() == ServerLifecycle::State::finished && clients_.is_empty()) host_.stop();
+}
+
+// Clients send on open connections until SIGKILL: what arrives is answered and the connection ended in the
+// same turn, so that SIGKILL finds no request open.
+asio::awaitable<void> GracefulShutdown::end_idle_connections_often() {
+  while (!host_.is_stopped()) {
+    end_idle_connections();
+    co_await service::pause_for(host_.io(), frequent_sweep_period);
+  }
+}
+
+}  // namespace paddlestand::platform
--- /dev/null
+++ b/src/platform/request_handler.cpp
@@ -0,0 +1,120 @@
+#include "request_handler.hpp"
+
+#include <algorithm>
+
+#include "client.hpp"
+#include "hex.hpp"
+#include "protocol/sql/tables.hpp"
+
+namespace paddlestand::platform {
+namespace {
+
+/// The line that answers a request; nothing where its answer is none.
+std::optional<std::string> answer_line(const ClientRequest& request, const core::Answer& action) {
+  std::string line;
+  switch (action.kind) {
+    case core::AnswerKind::served: jsonrpc::put_result(line, request.id, request.result); break;
+    case core::AnswerKind::rejected:
+      jsonrpc::put_error(line, request.id, jsonrpc::Code::refused,
+                         action.shutting_down ? "the workload manager is leaving" : "refused",
+                         action.retry_after);
+      break;
+    case core::AnswerKind::failed:
+      jsonrpc::put_error(line, request.id, jsonrpc::Code::failed,
+                         action.deadline_exceeded ? "time is up" : "failed");
+      break;
+    case core::AnswerKind::cancelled: return std::nullopt;
+  }
+  return line;
+}
+
+}  // namespace
+
+void RequestHandler::submit(const std::shared_ptr<Client>& client, core::SessionId session,
+                            jsonrpc::Query query) {
+  ClientRequest request;
+  request.client = client;
+  request.id = query.id;
+  request.trace = query.trace;
+  request.class_index = query.class_index;
+  request.deadline = client->input_time() + query.client_timeout;
+  request.token = std::move(query.nonce);
+  core::QueryArrived arrived;
+  arrived.session = session;
+  arrived.query = session;
+  arrived.class_index = query.class_index;
+  arrived.tenant = query.tenant;
+  arrived.ordering_key = query.ordering_key;
+  arrived.client_timeout = std::max(Duration{0}, request.deadline - host_.now());
+  arrived.estimated_cost = query.cost;
+  arrived.estimated_memory_mb = query.memory_mb;
+  arrived.tables = sql::table_group(query.statement).value_or(0);
+  arrived.repeated = query.repeated;
+  request.statement = std::move(query.statement);
+  if (host_.is_tracing()) log_submission(request, arrived);
+  requests_.add(session, std::move(request));
+  host_.dispatch(core::SessionOpened{session});
+  host_.dispatch(arrived);
+}
+
+void RequestHandler::log_submission(const ClientRequest& request, const core::QueryArrived& arrived) {
+  const auto cost_ms = arrived.estimated_cost ? arrived.estimated_cost->count() / 1000000 : 0;
+  host_.log().info(
+      "came", hex_of(request.trace) + " client " + std::to_string(request.client->number()) + " query " +
+                  std::to_string(arrived.query) + " tables " + std::to_string(arrived.tables) + " bytes " +
+                  std::to_string(request.statement.size()) + " cost_ms " + std::to_string(cost_ms) +
+                  " patience_ms " + std::to_string(arrived.client_timeout.count() / 1000000) + " key " +
+                  hex_of(arrived.ordering_key));
+}
+
+void RequestHandler::abandon(core::SessionId session) {
+  if (!requests_.abandon(session)) return;
+  if (host_.is_tracing()) {
+    host_.log().info("client left",
+                     hex_of(requests_.trace_of(session).value_or(0)) + " query " + std::to_string(session));
+  }
+  host_.dispatch(core::SessionClosed{session});
+}
+
+bool RequestHandler::is_trace_open(std::uint64_t trace) {
+  const std::shared_ptr<Client> holder = requests_.client_of_trace(trace);
+  if (holder == nullptr) return false;
+  holder->read_pending_input();
+  return requests_.is_trace_open(trace);
+}
+
+void RequestHandler::log_cancellation(std::size_t requests) {
+  if (host_.is_tracing()) host_.log().info("forgotten", std::to_string(requests) + " requests");
+}
+
+bool RequestHandler::may_dispatch(core::QueryId query) {
+  for (bool just_read = false;; just_read = true) {
+    const ClientRequest* const request = requests_.find(query);
+    if (request == nullptr) return false;
+    const std::shared_ptr<Client> client = request->client;
+    core::DispatchFacts facts;
+    facts.client_present = client->is_open() && !request->abandoned;
+    facts.since_client_was_read = host_.now() - client->input_drained_at();
+    facts.time_left = request->deadline - host_.now();
+    facts.just_read = just_read;
+    const core::DispatchDecision decision = core::may_dispatch(facts);
+    if (decision != core::DispatchDecision::read_client_first)
+      return decision == core::DispatchDecision::dispatch;
+    client->read_pending_input();
+  }
+}
+
+void RequestHandler::set_result(core::SessionId session, std::string&& result) {
+  ClientRequest* const request = requests_.find(session);
+  if (request != nullptr) request->result = std::move(result);
+}
+
+void RequestHandler::answer(const core::Answer& action) {
+  host_.log().answer(action, classes_[action.class_index].name);
+  const std::optional<ClientRequest> request = requests_.remove(action.session);
+  if (!request || request->abandoned) return;
+  host_.dispatch(core::SessionClosed{action.session});
+  if (auto line = answer_line(*request, action)) request->client->answer(request->id, std::move(*line));
+}
+
+}  // namespace paddlestand::platform
--- a/tests/platform/ends_test.cpp
+++ b/tests/platform/ends_test.cpp
@@ -317,7 +317,7 @@
   client.wire().write(RawClient::line(1, 0xb2, "report", "", 800));
   EngineSide engine(engines_[0]);
   ASSERT_TRUE(engine.next());
-  boost::asio::post(io, [&] { platform.reload(), platform.leave(), platform.reload(); });
+  boost::asio::post(io, [&] { platform.reload(), platform.begin_shutdown(), platform.reload(); });
   const std::string said = client.outcome();
   EXPECT_TRUE(said == "error:-32001" || said == "error:-32000") << said;
   client.wire().close();
@@ -386,7 +386,7 @@
   asks.ask(1, 0x81);
   EngineSide engine(engines_[0]);
   ASSERT_TRUE(engine.next());
-  boost::asio::post(io, [&] { platform.leave(); });
+  boost::asio::post(io, [&] { platform.begin_shutdown(); });
   EXPECT_TRUE(rests.wire().ends_whole());
   EXPECT_TRUE(rests.wire().write(RawClient::line(2, 0x82)));  // crosses the shutdown: never sent on
   EXPECT_TRUE(rests.wire().ends_whole());
@@ -409,7 +409,7 @@
     settings.core.module.classes[0].deadline = first;
     settings.core.module.classes[1].deadline = second;
     boost::asio::io_context io(1);
-    return PlatformServer(io, std::move(settings), "", false).life_after_term();
+    return PlatformServer(io, std::move(settings), "", false).termination_grace_period();
   };
   EXPECT_EQ(life(800ms, 1200ms), 1900ms);
   EXPECT_EQ(life(800ms, 25s), 3700ms);
@@ -428,7 +428,7 @@
   client.wire().write(RawClient::line(1, 0x91, "report", "", 800));
   EngineSide engine(engines_[0]);
   ASSERT_TRUE(engine.next());
-  boost::asio::post(io, [&] { platform.leave(); });
+  boost::asio::post(io, [&] { platform.begin_shutdown(); });
   const std::string said = client.outcome();
   EXPECT_TRUE(said == "error:-32001" || said == "error:-32000") << said;
   EXPECT_TRUE(client.wire().ends_whole());
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -394,7 +394,7 @@
   std::thread loop([&] { io.run(); });
   const auto leave = [&] {
     std::promise<void> done;
-    boost::asio::post(io, [&] { platform.leave(), done.set_value(); });
+    boost::asio::post(io, [&] { platform.begin_shutdown(), done.set_value(); });
     done.get_future().get();
   };
   RawClient client(port);
