--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -15,56 +15,63 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t most_config_bytes = 64U << 20U;
-constexpr std::size_t most_depth = 32;
-constexpr std::uint32_t links_a_connection =
-    16;  // channels full of streams, an engine: far beyond its sessions
-constexpr Duration least_connect_time = std::chrono::milliseconds(50);
-constexpr Duration least_idle_life = std::chrono::milliseconds(200);
-
-struct Fault {
+constexpr std::size_t max_config_bytes = 64U << 20U;
+constexpr std::size_t max_nesting = 32;  // of JSON values
+constexpr std::uint32_t max_connections_per_engine = 16;  // full of streams: far beyond an engine's sessions
+constexpr Duration min_connect_timeout = std::chrono::milliseconds(50);
+constexpr Duration min_idle_lifetime = std::chrono::milliseconds(200);
+
+/// Thrown within this file alone, for the first value that is missing or wrong.
+struct ConfigError {
   std::string text;
 };
 
-std::string_view view(const json::string& text) { return {text.data(), text.size()}; }
+// ---- JSON values, checked ----
+
+std::string_view view_of(const json::string& text) { return {text.data(), text.size()}; }
 
 const json::value& member(const json::object& object, std::string_view name) {
   const json::value* value = object.if_contains(name);
-  if (value == nullptr) throw Fault{std::string(name) + ": is missing"};
+  if (value == nullptr) throw ConfigError{std::string(name) + ": is missing"};
   return *value;
 }
-const json::object& object_in(const json::object& object, std::string_view name) {
+
+const json::object& object_at(const json::object& object, std::string_view name) {
   const json::value& value = member(object, name);
-  if (!value.is_object()) throw Fault{std::string(name) + "; wanted: an object"};
+  if (!value.is_object()) throw ConfigError{std::string(name) + "; wanted: an object"};
   return value.get_object();
 }
-std::string text_in(const json::object& object, std::string_view name) {
+
+std::string text_at(const json::object& object, std::string_view name) {
   const json::value& value = member(object, name);
-  if (!value.is_string()) throw Fault{std::string(name) + "; wanted: text"};
-  return std::string(view(value.get_string()));
+  if (!value.is_string()) throw ConfigError{std::string(name) + "; wanted: text"};
+  return std::string(view_of(value.get_string()));
 }
-double number_in(const json::object& object, std::string_view name, double least, double most) {
+
+double number_at(const json::object& object, std::string_view name, double min, double max) {
   const json::value& value = member(object, name);
   json::error_code error;
   const auto number = value.is_number() ? value.to_number<double>(error) : std::nan("");
-  if (error || !(number >= least && number <= most))
-    throw Fault{std::string(name) + "; wanted: a number from " + std::to_string(least) + " to " +
-                std::to_string(most)};
+  if (error || !(number >= min && number <= max))
+    throw ConfigError{std::string(name) + "; wanted: a number from " + std::to_string(min) + " to " +
+                      std::to_string(max)};
   return number;
 }
-std::uint64_t whole_in(const json::object& object, std::string_view name) {
+
+std::uint64_t integer_at(const json::object& object, std::string_view name) {
   json::error_code error;
   const json::value& value = member(object, name);
   const auto number = value.is_number() ? value.to_number<std::uint64_t>(error) : 0;
-  if (error || !value.is_number()) throw Fault{std::string(name) + "; wanted: a whole number, not negative"};
+  if (error || !value.is_number())
+    throw ConfigError{std::string(name) + "; wanted: a whole number, not negative"};
   return number;
 }
 
-// ---- The settings, as the lines that the simulator's first message has ----
+// ---- The settings, as the lines that config::parse_settings() reads ----
 
-void put_scalar(std::string& out, const json::value& value) {
+void append_scalar(std::string& out, const json::value& value) {
   if (value.is_string()) {
-    std::string text(view(value.get_string()));
+    std::string text(view_of(value.get_string()));
     std::replace_if(
         text.begin(), text.end(), [](char c) { return c == ' ' || c == ',' || c == '\n'; }, '_');
     out += text;
@@ -81,45 +88,56 @@
   }
 }
 
-void flatten(std::string& out, const std::string& path, const json::value& value) {
-  if (value.is_null()) return;
-  if (value.is_object()) {
-    for (const auto& [key, item] : value.get_object())
-      flatten(out, path.empty() ? std::string(key) : path + "." + std::string(key), item);
+bool is_compound(const json::value& value) { return value.is_object() || value.is_array(); }
+
+void append_lines(std::string& out, const std::string& path, const json::value& value);
+
+void append_lines(std::string& out, const std::string& path, const json::object& object) {
+  const std::string prefix = path.empty() ? "" : path + ".";
+  for (const auto& [key, item] : object) append_lines(out, prefix + std::string(key), item);
+}
+
+void append_lines(std::string& out, const std::string& path, const json::array& items) {
+  if (std::any_of(items.begin(), items.end(), is_compound)) {
+    out += path + ".count=" + std::to_string(items.size()) + "\n";
+    for (std::size_t i = 0; i < items.size(); ++i)
+      append_lines(out, path + "." + std::to_string(i), items[i]);
     return;
   }
-  if (value.is_array()) {
-    const json::array& items = value.get_array();
-    const bool plain = std::none_of(items.begin(), items.end(),
-                                    [](const json::value& i) { return i.is_object() || i.is_array(); });
-    if (!plain) {
-      out += path + ".count=" + std::to_string(items.size()) + "\n";
-      for (std::size_t i = 0; i < items.size(); ++i) flatten(out, path + "." + std::to_string(i), items[i]);
-      return;
-    }
+  out += path + "=";
+  for (std::size_t i = 0; i < items.size(); ++i) {
+    if (i > 0) out += ",";
+    append_scalar(out, items[i]);
+  }
+  out += "\n";
+}
+
+void append_lines(std::string& out, const std::string& path, const json::value& value) {
+  if (value.is_null()) return;
+  if (value.is_object()) {
+    append_lines(out, path, value.get_object());
+  } else if (value.is_array()) {
+    append_lines(out, path, value.get_array());
+  } else {
     out += path + "=";
-    for (std::size_t i = 0; i < items.size(); ++i) {
-      if (i > 0) out += ",";
-      put_scalar(out, items[i]);
-    }
+    append_scalar(out, value);
     out += "\n";
-    return;
   }
-  out += path + "=";
-  put_scalar(out, value);
-  out += "\n";
 }
 
-void take_names(auto& items, const json::object& settings, std::string_view list) {
-  const json::value* all = settings.if_contains(list);
-  for (std::size_t i = 0; i < items.size() && all != nullptr && all->is_array(); ++i)
-    if (i < all->get_array().size() && all->get_array()[i].is_object())
-      items[i].name = text_in(all->get_array()[i].get_object(), "name");
+// The lines hold no spaces and no commas; clients and engines use the names as they are in the JSON.
+void restore_names(auto& items, const json::object& settings, std::string_view list_name) {
+  const json::value* const list = settings.if_contains(list_name);
+  if (list == nullptr || !list->is_array()) return;
+  const json::array& named = list->get_array();
+  for (std::size_t i = 0; i < std::min(items.size(), named.size()); ++i)
+    if (named[i].is_object()) items[i].name = text_at(named[i].get_object(), "name");
 }
 
 // ---- Known events ----
 
-std::uint32_t place_in(const json::object& settings, std::string_view list, const json::value& named) {
+// An entry of one of the settings' lists, given by its index or by its name.
+std::uint32_t index_in(const json::object& settings, std::string_view list, const json::value& named) {
   if (named.is_int64() && named.get_int64() >= 0) return static_cast<std::uint32_t>(named.get_int64());
   const json::value& names = member(settings, list);
   if (names.is_array() && named.is_string()) {
@@ -127,114 +145,145 @@
     const auto found = std::find(all.begin(), all.end(), named);
     if (found != all.end()) return static_cast<std::uint32_t>(found - all.begin());
   }
-  throw Fault{"an engine's place is none of the settings' " + std::string(list)};
+  throw ConfigError{"an engine's place is none of the settings' " + std::string(list)};
+}
+
+EngineId read_engine_id(const json::object& instance) {
+  const std::string text = text_at(instance, "instanceId");
+  const char* const end = text.data() + text.size();
+  EngineId id{};
+  if (!text.starts_with("s-") || text.size() != 10 ||
+      std::from_chars(text.data() + 2, end, id, 16).ptr != end)
+    throw ConfigError{"instanceId; wanted: s- and 8 hex digits"};
+  return id;
+}
+
+EngineState read_engine_state(const json::object& instance) {
+  const std::string text = text_at(instance, "lifecycle");
+  if (text == "active") return EngineState::ready;
+  if (text == "leaving") return EngineState::draining;
+  if (text == "left") return EngineState::removed;
+  throw ConfigError{"lifecycle; wanted: active, leaving or left"};
 }
 
 discovery::Record read_instance(const json::object& instance, const json::object& settings) {
   discovery::Record record;
-  const std::string id = text_in(instance, "instanceId");
-  const char* const end = id.data() + id.size();
-  if (!id.starts_with("s-") || id.size() != 10 ||
-      std::from_chars(id.data() + 2, end, record.entry.engine, 16).ptr != end)
-    throw Fault{"instanceId; wanted: s- and 8 hex digits"};
-  const auto address = parse_address(text_in(instance, "hostPort"));
-  if (const auto* problem = std::get_if<Problem>(&address)) throw Fault{"hostPort: " + problem->text};
+  record.entry.engine = read_engine_id(instance);
+  const auto address = parse_address(text_at(instance, "hostPort"));
+  if (const auto* problem = std::get_if<Problem>(&address)) throw ConfigError{"hostPort: " + problem->text};
   record.address = std::get<Address>(address).host;
   record.port = std::get<Address>(address).port;
-  record.entry.zone = place_in(settings, "areas", member(instance, "zone"));
-  record.entry.kind = place_in(settings, "flavors", member(instance, "machineType"));
-  record.entry.cell = static_cast<std::uint32_t>(number_in(instance, "cell", 0, 65535));
-  const std::string state = text_in(instance, "lifecycle");
-  if (state != "active" && state != "leaving" && state != "left")
-    throw Fault{"lifecycle; wanted: active, leaving or left"};
-  record.entry.state = state == "active"    ? EngineState::ready
-                       : state == "leaving" ? EngineState::draining
-                                            : EngineState::removed;
-  record.entry.weight = number_in(instance, "weight", 0, 1e9);
+  record.entry.zone = index_in(settings, "areas", member(instance, "zone"));
+  record.entry.kind = index_in(settings, "flavors", member(instance, "machineType"));
+  record.entry.cell = static_cast<std::uint32_t>(number_at(instance, "cell", 0, 65535));
+  record.entry.state = read_engine_state(instance);
+  record.entry.weight = number_at(instance, "weight", 0, 1e9);
   record.entry.started =
-      std::chrono::milliseconds{static_cast<std::int64_t>(number_in(instance, "startedAtMs", 0, 9e15))};
+      std::chrono::milliseconds{static_cast<std::int64_t>(number_at(instance, "startedAtMs", 0, 9e15))};
   return record;
 }
 
 discovery::Event read_event(const json::value& value, const json::object& settings) {
-  if (!value.is_object()) throw Fault{"cmds; wanted: objects"};
+  if (!value.is_object()) throw ConfigError{"cmds; wanted: objects"};
   discovery::Event event;
-  event.number = whole_in(value.get_object(), "cursor");
-  const json::object& nodes = object_in(value.get_object(), "nodes");
+  event.number = integer_at(value.get_object(), "cursor");
+  const json::object& nodes = object_at(value.get_object(), "nodes");
   const json::value& reset = member(nodes, "reset");
   event.whole = reset.is_bool() && reset.get_bool();
   const json::value& instances = member(nodes, "instances");
-  if (!instances.is_array()) throw Fault{"instances; wanted: a list"};
+  if (!instances.is_array()) throw ConfigError{"instances; wanted: a list"};
   for (const json::value& one : instances.get_array()) {
-    if (!one.is_object()) throw Fault{"instances; wanted: objects"};
+    if (!one.is_object()) throw ConfigError{"instances; wanted: objects"};
     event.records.push_back(read_instance(one.get_object(), settings));
   }
   return event;
 }
 
-Address address_in(const json::object& object, std::string_view name) {
-  const auto address = parse_address(text_in(object, name));
+Address address_at(const json::object& object, std::string_view name) {
+  const auto address = parse_address(text_at(object, name));
   if (const auto* problem = std::get_if<Problem>(&address))
-    throw Fault{std::string(name) + ": " + problem->text};
+    throw ConfigError{std::string(name) + ": " + problem->text};
   return std::get<Address>(address);
 }
 
-Duration time_in(const json::object& object, std::string_view name) {
-  return Duration{static_cast<std::int64_t>(number_in(object, name, 0, 9e18))};
+Duration duration_at(const json::object& object, std::string_view name) {
+  return Duration{static_cast<std::int64_t>(number_at(object, name, 0, 9e18))};
 }
 
-PlatformConfig parse(std::string_view text) {
+// ---- Sections of the file ----
+
+json::value parse_json(std::string_view text) {
   json::parse_options options;
-  options.max_depth = most_depth;
+  options.max_depth = max_nesting;
   json::error_code error;
-  const json::value parsed = json::parse(text, error, {}, options);
-  if (error) throw Fault{"no JSON: " + error.message()};
-  if (!parsed.is_object()) throw Fault{"wanted: one object"};
-  const json::object& top = parsed.get_object();
-  PlatformConfig config;
-  config.name = text_in(top, "name");
-  config.listen = address_in(top, "listen");
-  config.discovery_endpoint = address_in(top, "channel");
-  if (const json::value* limits = top.if_contains("limits"); limits != nullptr && limits->is_object()) {
-    const json::object& all = limits->get_object();
-    if (all.contains("memory_mb")) config.limits.memory_mb = number_in(all, "memory_mb", 0, 1e9);
-    if (all.contains("sockets"))
-      config.limits.descriptors = static_cast<std::uint32_t>(number_in(all, "sockets", 0, 1e7));
-  }
+  json::value parsed = json::parse(text, error, {}, options);
+  if (error) throw ConfigError{"no JSON: " + error.message()};
+  if (!parsed.is_object()) throw ConfigError{"wanted: one object"};
+  return parsed;
+}
+
+Limits read_limits(const json::object& top) {
+  Limits limits;
+  const json::value* const value = top.if_contains("limits");
+  if (value == nullptr || !value->is_object()) return limits;
+  const json::object& object = value->get_object();
+  if (object.contains("memory_mb")) limits.memory_mb = number_at(object, "memory_mb", 0, 1e9);
+  if (object.contains("sockets"))
+    limits.descriptors = static_cast<std::uint32_t>(number_at(object, "sockets", 0, 1e7));
+  return limits;
+}
 
-  const json::object& settings = object_in(top, "settings");
+void read_settings(PlatformConfig& config, const json::object& settings) {
   std::string lines;
-  flatten(lines, "", settings);
+  append_lines(lines, "", settings);
   auto read = config::parse_settings(lines);
-  if (const auto* problem = std::get_if<std::string>(&read)) throw Fault{"settings: " + *problem};
-  auto& known = std::get<config::ParsedSettings>(read);
-  if (known.settings.classes.empty()) throw Fault{"settings: classes; wanted: one or more"};
-  config.core.module = std::move(known.settings);
-  // Clients and engines use the names as they are told here; the lines keep no spaces and no commas.
-  take_names(config.core.module.classes, settings, "classes");
-  take_names(config.core.module.tenants, settings, "tenants");
-  config.report_names = std::move(known.report_names);
-
-  const std::string seed = text_in(top, "seed");
-  const char* const end = seed.data() + seed.size();
-  if (seed.empty() || std::from_chars(seed.data(), end, config.core.module.seed, 16).ptr != end)
-    throw Fault{"seed; wanted: hex digits"};
-
-  const json::object& may = object_in(settings, "permissions");
-  config.streams_per_connection = static_cast<std::uint32_t>(number_in(may, "multiplex", 1, 1e6));
-  config.core.channels_per_engine = links_a_connection * config.streams_per_connection;
-  // A channel is a stream, which ends with its answer; what stays open is the channel below it.
+  if (const auto* problem = std::get_if<std::string>(&read)) throw ConfigError{"settings: " + *problem};
+  auto& parsed = std::get<config::ParsedSettings>(read);
+  if (parsed.settings.classes.empty()) throw ConfigError{"settings: classes; wanted: one or more"};
+  config.core.module = std::move(parsed.settings);
+  restore_names(config.core.module.classes, settings, "classes");
+  restore_names(config.core.module.tenants, settings, "tenants");
+  config.report_names = std::move(parsed.report_names);
+}
+
+void read_seed(PlatformConfig& config, const json::object& top) {
+  const std::string text = text_at(top, "seed");
+  const char* const end = text.data() + text.size();
+  if (text.empty() || std::from_chars(text.data(), end, config.core.module.seed, 16).ptr != end)
+    throw ConfigError{"seed; wanted: hex digits"};
+}
+
+void read_permissions(PlatformConfig& config, const json::object& permissions) {
+  config.streams_per_connection = static_cast<std::uint32_t>(number_at(permissions, "multiplex", 1, 1e6));
+  config.core.channels_per_engine = max_connections_per_engine * config.streams_per_connection;
+  // A channel is a stream, which ends with its answer; the connection below it stays open.
   config.core.idle_channels_per_engine = 0;
-  config.core.idle_channel_lifetime = std::max(least_idle_life, time_in(may, "conn_idle_ns"));
-  config.core.connect_timeout = std::max(least_connect_time, time_in(may, "dial_timeout_ns"));
+  config.core.idle_channel_lifetime = std::max(min_idle_lifetime, duration_at(permissions, "conn_idle_ns"));
+  config.core.connect_timeout = std::max(min_connect_timeout, duration_at(permissions, "dial_timeout_ns"));
   config.core.probe_timeout = config.core.connect_timeout;
   config.core.cancel_grace = config.core.connect_timeout;
+}
 
-  const json::object& events = object_in(top, "known");
-  config.cursor = whole_in(events, "cursor");
-  const json::value& all = member(events, "cmds");
-  if (!all.is_array()) throw Fault{"cmds; wanted: a list"};
-  for (const json::value& one : all.get_array()) config.known.push_back(read_event(one, settings));
+void read_known_events(PlatformConfig& config, const json::object& known, const json::object& settings) {
+  config.cursor = integer_at(known, "cursor");
+  const json::value& events = member(known, "cmds");
+  if (!events.is_array()) throw ConfigError{"cmds; wanted: a list"};
+  for (const json::value& event : events.get_array()) config.known.push_back(read_event(event, settings));
+}
+
+PlatformConfig parse(std::string_view text) {
+  const json::value parsed = parse_json(text);
+  const json::object& top = parsed.get_object();
+  PlatformConfig config;
+  config.name = text_at(top, "name");
+  config.listen = address_at(top, "listen");
+  config.discovery_endpoint = address_at(top, "channel");
+  config.limits = read_limits(top);
+  const json::object& settings = object_at(top, "settings");
+  read_settings(config, settings);
+  read_seed(config, top);
+  read_permissions(config, object_at(settings, "permissions"));
+  read_known_events(config, object_at(top, "known"), settings);
   return config;
 }
 
@@ -242,23 +291,25 @@
 
 std::variant<Address, Problem> parse_address(std::string_view text) {
   Address address;
-  const char* at = text.data();
-  const char* const end = at + text.size();
-  const auto number = [&](std::uint32_t most, char behind) -> std::optional<std::uint32_t> {
+  const char* position = text.data();
+  const char* const end = position + text.size();
+  // One number and the separator behind it; the last number ends the text.
+  const auto next_number = [&](std::uint32_t max, char separator) -> std::optional<std::uint32_t> {
     std::uint32_t value = 0;
-    const auto [next, error] = std::from_chars(at, end, value);
-    if (error != std::errc{} || value > most) return std::nullopt;
-    if (behind == '\0' ? next != end : next == end || *next != behind) return std::nullopt;
-    at = next + (behind == '\0' ? 0 : 1);
+    const auto [next, error] = std::from_chars(position, end, value);
+    if (error != std::errc{} || value > max) return std::nullopt;
+    const bool is_last = separator == '\0';
+    if (is_last ? next != end : next == end || *next != separator) return std::nullopt;
+    position = is_last ? next : next + 1;
     return value;
   };
   const Problem wanted{"'" + std::string(text.substr(0, 64)) + "'; wanted: an address like 10.0.0.4:4100"};
   for (int i = 0; i < 4; ++i) {
-    const auto part = number(255, i < 3 ? '.' : ':');
-    if (!part) return wanted;
-    address.host = address.host << 8U | *part;
+    const auto octet = next_number(255, i < 3 ? '.' : ':');
+    if (!octet) return wanted;
+    address.host = address.host << 8U | *octet;
   }
-  const auto port = number(65535, '\0');
+  const auto port = next_number(65535, '\0');
   if (!port || *port == 0) return wanted;
   address.port = static_cast<std::uint16_t>(*port);
   return address;
@@ -274,11 +325,11 @@
 std::variant<PlatformConfig, Problem> parse_config(std::string_view text) {
   try {
     return parse(text);
-  } catch (const Fault& fault) { return Problem{fault.text}; }
+  } catch (const ConfigError& error) { return Problem{error.text}; }
 }
 
 std::variant<PlatformConfig, Problem> read_config(const std::string& path) {
-  const auto text = config::read_file(path, most_config_bytes);
+  const auto text = config::read_file(path, max_config_bytes);
   if (const auto* error = std::get_if<config::FileError>(&text)) {
     if (error->error_number == EFBIG) return Problem{path + ": is larger than 64 MiB"};
     return Problem{path + ": can't be read: " + std::strerror(error->error_number), error->transient};
--- a/src/platform/discovery_watch.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -1,5 +1,6 @@
 #include "discovery_watch.hpp"
 
+#include <algorithm>
 #include <array>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -15,140 +16,168 @@
 
 namespace {
 
-constexpr Duration connect_limit = 500ms;
-constexpr Duration silence_limit = 2s;  // two heartbeats
-constexpr Duration local_pause = 10ms;
-constexpr Duration first_pause = 20ms, longest_pause = 250ms;
+constexpr Duration connect_timeout = 500ms;
+constexpr Duration silence_timeout = 2s;  // two heartbeats
+constexpr Duration local_failure_pause = 10ms;
+constexpr Duration min_backoff = 20ms;
+constexpr Duration max_backoff = 250ms;
 
 }  // namespace
 
-// Its socket is closed by the timer when it takes too long, or by the watch when it is to be asked anew.
-struct DiscoveryWatch::Round {
-  explicit Round(asio::io_context& io) : socket(io), timer(io) {}
-  service::StreamSocket socket;
-  asio::steady_timer timer;
-  discovery::EventReader reader;
-  bool timed_out = false, closed = false, heard = false;
+/// One connection to the command channel. Closed by its timer, or by the watch.
+struct DiscoveryWatch::Subscription {
+  using Cause = SubscriptionEnd::Cause;
+
+  explicit Subscription(asio::io_context& io) : socket(io), timer(io) {}
 
   void close() {
-    closed = true;
+    is_closed = true;
     socket.close();
     timer.cancel();
   }
+  /// The end of a subscription that was closed: by its timer, which `timeout` describes, or by the watch.
+  [[nodiscard]] SubscriptionEnd end_after_close(const char* timeout) const {
+    if (is_timed_out) return {Cause::timed_out, timeout};
+    return {Cause::closed_here, "left"};
+  }
+
+  service::StreamSocket socket;
+  asio::steady_timer timer;
+  discovery::EventReader reader;
+  bool is_timed_out = false;
+  bool is_closed = false;
+  bool has_received = false;  // an event or a heartbeat
 };
 
-DiscoveryWatch::DiscoveryWatch(asio::io_context& io, tcp::endpoint at, Hooks hooks)
-    : io_(io), at_(std::move(at)), hooks_(std::move(hooks)), pause_(io) {}
+DiscoveryWatch::DiscoveryWatch(asio::io_context& io, tcp::endpoint address, Hooks hooks)
+    : io_(io), address_(std::move(address)), hooks_(std::move(hooks)), retry_timer_(io) {}
 
 void DiscoveryWatch::start() { service::spawn(io_, run()); }
 
-void DiscoveryWatch::move_to(tcp::endpoint at) {
-  at_ = std::move(at);
-  moved_ = true;
-  pause_.cancel();
-  if (round_) round_->close();
+void DiscoveryWatch::move_to(tcp::endpoint address) {
+  address_ = std::move(address);
+  is_moved_ = true;
+  retry_timer_.cancel();
+  if (subscription_) subscription_->close();
 }
 
 void DiscoveryWatch::stop() {
-  stopped_ = true;
-  pause_.cancel();
-  if (round_) round_->close();
+  is_stopped_ = true;
+  retry_timer_.cancel();
+  if (subscription_) subscription_->close();
 }
 
-void DiscoveryWatch::limit(const std::shared_ptr<Round>& round, Duration time) {
-  round->timer.expires_after(time);
-  round->timer.async_wait([round](const error_code& error) {
-    if (error || round->closed) return;
-    round->timed_out = true;
-    round->close();
+// Closes the subscription after this time; a later call replaces an earlier one.
+void DiscoveryWatch::limit(const std::shared_ptr<Subscription>& subscription, Duration time) {
+  subscription->timer.expires_after(time);
+  subscription->timer.async_wait([subscription](const error_code& error) {
+    if (error || subscription->is_closed) return;
+    subscription->is_timed_out = true;
+    subscription->close();
   });
 }
 
 asio::awaitable<void> DiscoveryWatch::run() {
-  Duration pause{};
-  bool logged = false;
-  while (!stopped_) {
-    moved_ = false;
-    const auto round = std::make_shared<Round>(io_);
-    round_ = round;
-    const std::string why = co_await subscribe(round);
-    round->close();
-    round_.reset();
-    if (stopped_) co_return;
-    if (moved_) {
-      pause = {};
+  Duration backoff{};
+  bool is_logged = false;
+  while (!is_stopped_) {
+    is_moved_ = false;
+    const auto subscription = std::make_shared<Subscription>(io_);
+    subscription_ = subscription;
+    const SubscriptionEnd end = co_await subscribe(subscription);
+    subscription->close();
+    subscription_.reset();
+    if (is_stopped_) co_return;
+    if (is_moved_) {
+      backoff = {};
       continue;
     }
-    if (round->heard || !logged) hooks_.on_trouble(why + "; asked again");
-    logged = true;
-    // What fails here for a moment says nothing of the other side, which needs no sparing.
-    pause = local_failure_ ? local_pause
-            : round->heard ? first_pause
-                           : std::min(2 * pause + first_pause, longest_pause);
-    pause_.expires_after(pause);
+    if (subscription->has_received || !is_logged) hooks_.on_trouble(end.description + "; asked again");
+    is_logged = true;
+    if (end.cause == SubscriptionEnd::Cause::local_failure) {
+      backoff = local_failure_pause;  // it says nothing of the other side, which needs no backoff
+    } else if (subscription->has_received) {
+      backoff = min_backoff;
+    } else {
+      backoff = std::min(2 * backoff + min_backoff, max_backoff);
+    }
+    retry_timer_.expires_after(backoff);
     error_code ignored;
-    co_await pause_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    co_await retry_timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
-// Why it ended.
-asio::awaitable<std::string> DiscoveryWatch::subscribe(std::shared_ptr<Round> round) {
-  local_failure_ = false;
-  limit(round, connect_limit);
-  const auto failure = co_await round->socket.connect(at_);
-  if (round->closed) {
-    round->socket.close();
-    co_return round->timed_out ? "no connection" : "left";
+asio::awaitable<DiscoveryWatch::SubscriptionEnd> DiscoveryWatch::subscribe(
+    std::shared_ptr<Subscription> subscription) {
+  using Cause = SubscriptionEnd::Cause;
+  limit(subscription, connect_timeout);
+  const auto failure = co_await subscription->socket.connect(address_);
+  if (subscription->is_closed) {
+    subscription->socket.close();
+    co_return subscription->end_after_close("no connection");
+  }
+  if (failure) {
+    const bool is_refused = failure->verdict == core::CallVerdict::refused;
+    co_return SubscriptionEnd{is_refused ? Cause::connect_failure : Cause::local_failure,
+                              failure->error.message()};
   }
-  local_failure_ = failure && failure->verdict != core::CallVerdict::refused;
-  if (failure) co_return failure->error.message();
-  if (!co_await write_cursor(round)) co_return round->timed_out ? "it does not read" : "it is gone";
-  co_return co_await read_events(round);
+  if (auto end = co_await write_cursor(subscription)) co_return std::move(*end);
+  co_return co_await read_events(subscription);
 }
 
-asio::awaitable<bool> DiscoveryWatch::write_cursor(std::shared_ptr<Round> round) {
+asio::awaitable<std::optional<DiscoveryWatch::SubscriptionEnd>> DiscoveryWatch::write_cursor(
+    std::shared_ptr<Subscription> subscription) {
+  const auto failed = [&] {
+    if (subscription->is_timed_out) return subscription->end_after_close("it does not read");
+    return SubscriptionEnd{SubscriptionEnd::Cause::disconnected, "it is gone"};
+  };
   std::string cursor;
   discovery::put_cursor(cursor, hooks_.last_event());
   while (!cursor.empty()) {
-    const IoResult sent = round->socket.send(cursor);
-    if (sent.status == IoStatus::ended) co_return false;
+    const IoResult sent = subscription->socket.send(cursor);
+    if (sent.status == IoStatus::ended) co_return failed();
     cursor.erase(0, sent.bytes);
     if (sent.status == IoStatus::progress) continue;
-    co_await round->socket.wait_to_send(sent.status);
-    if (round->closed) co_return false;
+    co_await subscription->socket.wait_to_send(sent.status);
+    if (subscription->is_closed) co_return failed();
   }
-  co_return true;
+  co_return std::nullopt;
 }
 
-asio::awaitable<std::string> DiscoveryWatch::read_events(std::shared_ptr<Round> round) {
+asio::awaitable<DiscoveryWatch::SubscriptionEnd> DiscoveryWatch::read_events(
+    std::shared_ptr<Subscription> subscription) {
+  using Cause = SubscriptionEnd::Cause;
   std::array<char, 4096> buffer;
-  limit(round, silence_limit);
+  limit(subscription, silence_timeout);
   IoStatus last = IoStatus::would_block;
   for (;;) {
-    co_await round->socket.wait_to_receive(last);
-    if (round->closed) co_return round->timed_out ? "silent" : "left";
-    const IoResult got = round->socket.receive(buffer);
-    last = got.status;
-    if (got.status == IoStatus::end_of_input) co_return "it closed the connection";
-    if (got.status == IoStatus::ended) co_return got.error.message();
-    if (got.status != IoStatus::progress) continue;
-    limit(round, silence_limit);
-    round->reader.feed({buffer.data(), got.bytes});
-    if (const std::string wrong = take_events(*round); !wrong.empty()) co_return wrong;
-    if (round->closed) co_return "left";
+    co_await subscription->socket.wait_to_receive(last);
+    if (subscription->is_closed) co_return subscription->end_after_close("silent");
+    const IoResult received = subscription->socket.receive(buffer);
+    last = received.status;
+    if (last == IoStatus::end_of_input)
+      co_return SubscriptionEnd{Cause::disconnected, "it closed the connection"};
+    if (last == IoStatus::ended) co_return SubscriptionEnd{Cause::disconnected, received.error.message()};
+    if (last != IoStatus::progress) continue;
+    limit(subscription, silence_timeout);
+    subscription->reader.feed({buffer.data(), received.bytes});
+    if (auto end = process_events(*subscription)) co_return std::move(*end);
+    if (subscription->is_closed) co_return SubscriptionEnd{Cause::closed_here, "left"};
   }
 }
 
-// What is wrong, or nothing.
-std::string DiscoveryWatch::take_events(Round& round) {
+std::optional<DiscoveryWatch::SubscriptionEnd> DiscoveryWatch::process_events(Subscription& subscription) {
+  using Cause = SubscriptionEnd::Cause;
   for (;;) {
-    auto next = round.reader.next();
-    if (std::holds_alternative<std::monostate>(next)) return {};
-    if (const auto* on_violation = std::get_if<discovery::Broken>(&next)) return on_violation->what;
-    round.heard = true;
+    auto next = subscription.reader.next();
+    if (std::holds_alternative<std::monostate>(next)) return std::nullopt;
+    if (const auto* malformed = std::get_if<discovery::Broken>(&next))
+      return SubscriptionEnd{Cause::protocol_error, malformed->what};
+    subscription.has_received = true;
     const auto* event = std::get_if<discovery::Event>(&next);
-    if (event != nullptr && !hooks_.on_event(*event)) return "an event is missing";
-    if (round.closed) return {};
+    if (event != nullptr && !hooks_.on_event(*event))
+      return SubscriptionEnd{Cause::protocol_error, "an event is missing"};
+    if (subscription.is_closed) return std::nullopt;
   }
 }
 
--- a/src/platform/discovery_watch.hpp
+++ b/src/platform/discovery_watch.hpp
@@ -1,5 +1,5 @@
-/// The subscription to the platform's command channel: asks for every event above the last that is known,
-/// again whenever the connection ends, falls silent or skips an event. A call that fails for a moment ends
+/// The subscription to the command channel of the platform: requests every event after the last known one,
+/// and again whenever the connection ends, falls silent or skips an event. A call that fails temporarily ends
 /// nothing.
 #pragma once
 
@@ -9,6 +9,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 
 #include "protocol/discovery/events.hpp"
@@ -16,40 +17,60 @@
 
 namespace paddlestand::platform {
 
+/// One subscription at a time. Its coroutine ends after stop(), or with the event loop, which must outlive
+/// it.
 class DiscoveryWatch {
  public:
   using tcp = boost::asio::ip::tcp;
 
   struct Hooks {
+    /// The number of the last known event.
     std::function<std::uint64_t()> last_event;
-    /// False where an event before it is missing.
+    /// Applies an event; false where one before it is missing.
     std::function<bool(const discovery::Event&)> on_event;
+    /// A subscription ended and is repeated; called for the first, and for each that had received anything.
     std::function<void(const std::string&)> on_trouble;
   };
 
-  DiscoveryWatch(boost::asio::io_context& io, tcp::endpoint at, Hooks hooks);
+  DiscoveryWatch(boost::asio::io_context& io, tcp::endpoint address, Hooks hooks);
 
   void start();
-  /// Subscribes there from now on, at once, also where it is the same address.
-  void move_to(tcp::endpoint at);
+  /// Subscribes there from now on, at once, also where the address is the same.
+  void move_to(tcp::endpoint address);
   void stop();
 
  private:
-  struct Round;  // one connection
+  struct Subscription;
+
+  /// Why a subscription has ended.
+  struct SubscriptionEnd {
+    enum class Cause : std::uint8_t {
+      local_failure,  ///< this machine could not connect, for want of something
+      connect_failure,
+      disconnected,
+      timed_out,
+      protocol_error,  ///< malformed bytes, or an event is missing
+      closed_here  ///< by stop() or move_to()
+    };
+    Cause cause{};
+    std::string description;  ///< for the log
+  };
 
   boost::asio::awaitable<void> run();
-  boost::asio::awaitable<std::string> subscribe(std::shared_ptr<Round> round);
-  boost::asio::awaitable<bool> write_cursor(std::shared_ptr<Round> round);
-  boost::asio::awaitable<std::string> read_events(std::shared_ptr<Round> round);
-  std::string take_events(Round& round);
-  void limit(const std::shared_ptr<Round>& round, Duration time);
+  boost::asio::awaitable<SubscriptionEnd> subscribe(std::shared_ptr<Subscription> subscription);
+  boost::asio::awaitable<std::optional<SubscriptionEnd>> write_cursor(
+      std::shared_ptr<Subscription> subscription);
+  boost::asio::awaitable<SubscriptionEnd> read_events(std::shared_ptr<Subscription> subscription);
+  std::optional<SubscriptionEnd> process_events(Subscription& subscription);
+  void limit(const std::shared_ptr<Subscription>& subscription, Duration time);
 
   boost::asio::io_context& io_;
-  tcp::endpoint at_;
+  tcp::endpoint address_;
   Hooks hooks_;
-  std::shared_ptr<Round> round_;
-  boost::asio::steady_timer pause_;
-  bool stopped_ = false, moved_ = false, local_failure_ = false;
+  std::shared_ptr<Subscription> subscription_;  // the present one
+  boost::asio::steady_timer retry_timer_;
+  bool is_stopped_ = false;
+  bool is_moved_ = false;  // during the present subscription
 };
 
 }  // namespace paddlestand::platform
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -1,44 +1,45 @@
 #include "endpoint_list.hpp"
 
-#include <set>
-
 namespace paddlestand::platform {
 
-EndpointList::ApplyResult EndpointList::take(const discovery::Event& event, core::EndpointsUpdated& told,
-                                             std::vector<EngineId>& ended) {
-  if (event.number <= last_) return ApplyResult::duplicate;
-  // A whole list needs nothing before it.
-  if (!event.whole && event.number != last_ + 1) return ApplyResult::gap;
-  last_ = event.number;
-  told.scope = event.whole ? EndpointUpdate::full : EndpointUpdate::delta;
-  std::set<EngineId> named;
+EndpointList::ApplyResult EndpointList::take(const discovery::Event& event, core::EndpointsUpdated& update,
+                                             std::vector<EngineId>& ended_processes) {
+  if (event.number <= last_event_) return ApplyResult::duplicate;
+  // A full list needs no event before it.
+  if (!event.whole && event.number != last_event_ + 1) return ApplyResult::gap;
+  last_event_ = event.number;
+  update.scope = event.whole ? EndpointUpdate::full : EndpointUpdate::delta;
+  std::set<EngineId> listed;
   for (const discovery::Record& record : event.records) {
     const EngineId id = record.entry.engine;
-    const Engine now{
+    const Engine current{
         {record.address, record.port}, record.entry.started, record.entry.state == EngineState::removed};
-    const auto [known, fresh] = engines_.try_emplace(id, now);
-    if (!fresh && !known->second.same_process(now)) ended.push_back(id);
-    known->second = now;
-    told.engines.push_back(record.entry);
-    if (event.whole) named.insert(id);
+    const auto [known, is_new] = engines_.try_emplace(id, current);
+    if (!is_new && !known->second.is_same_process_as(current)) ended_processes.push_back(id);
+    known->second = current;
+    update.engines.push_back(record.entry);
+    listed.insert(id);
   }
-  if (!event.whole) return ApplyResult::applied;
+  if (event.whole) remove_unlisted(listed, ended_processes);
+  return ApplyResult::applied;
+}
+
+void EndpointList::remove_unlisted(const std::set<EngineId>& listed, std::vector<EngineId>& ended_processes) {
   for (auto& [id, engine] : engines_) {
-    if (named.contains(id) || engine.gone) continue;
-    engine.gone = true;
-    ended.push_back(id);
+    if (listed.contains(id) || engine.is_removed) continue;
+    engine.is_removed = true;
+    ended_processes.push_back(id);
   }
-  return ApplyResult::applied;
 }
 
 void EndpointList::forget_removed() {
-  std::erase_if(engines_, [](const auto& engine) { return engine.second.gone; });
+  std::erase_if(engines_, [](const auto& entry) { return entry.second.is_removed; });
 }
 
 std::optional<Address> EndpointList::address(EngineId engine) const {
   const auto found = engines_.find(engine);
   if (found == engines_.end()) return std::nullopt;
-  return found->second.at;
+  return found->second.address;
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/endpoint_list.hpp
+++ b/src/platform/endpoint_list.hpp
@@ -1,43 +1,51 @@
-// The list of engines as the command channel's events make it: which event is new, which was seen before,
-// where one is missing; and the address of every engine that may be talked to. No I/O.
+/// The list of engines as the events of the command channel define it: which event is new, which is a
+/// duplicate, where one is missing; and the address of every engine. No I/O.
 #pragma once
 
 #include <map>
 #include <optional>
+#include <set>
 #include <vector>
 
 #include "config.hpp"
 
 namespace paddlestand::platform {
 
+/// The engines and the number of the last event.
 class EndpointList {
  public:
   enum class ApplyResult : std::uint8_t {
     applied,
-    duplicate,  // its number is not above the last: passed over
-    gap,  // an event before it is missing: to be asked for
+    duplicate,  ///< its number is not above the last: ignored
+    gap  ///< an event before it is missing and has to be requested
   };
 
-  // What it changed is in `told`; start times count from 1970. `ended`: engines whose process is another one
-  // from here on, or none: gone, moved or started anew.
-  ApplyResult take(const discovery::Event& event, core::EndpointsUpdated& told, std::vector<EngineId>& ended);
-  // Forgets the addresses of engines that are gone, once nothing can be sent to them any more.
+  /// Applies an event. `update` gets what it changed, start times counting from 1970; `ended_processes` gets
+  /// the engines whose process was removed, moved or restarted.
+  ApplyResult take(const discovery::Event& event, core::EndpointsUpdated& update,
+                   std::vector<EngineId>& ended_processes);
+  /// Drops the addresses of removed engines, once nothing can be sent to them any more.
   void forget_removed();
 
-  [[nodiscard]] std::uint64_t last() const { return last_; }
+  /// The number of the last event.
+  [[nodiscard]] std::uint64_t last() const { return last_event_; }
+  /// Nothing where the engine is unknown.
   [[nodiscard]] std::optional<Address> address(EngineId engine) const;
   [[nodiscard]] std::size_t size() const { return engines_.size(); }
 
  private:
   struct Engine {
-    Address at;
+    Address address;
     TimePoint started{};
-    bool gone = false;
-    [[nodiscard]] bool same_process(const Engine& other) const {
-      return !gone && !other.gone && at == other.at && started == other.started;
+    bool is_removed = false;
+    [[nodiscard]] bool is_same_process_as(const Engine& other) const {
+      return !is_removed && !other.is_removed && address == other.address && started == other.started;
     }
   };
-  std::uint64_t last_ = 0;
+
+  void remove_unlisted(const std::set<EngineId>& listed, std::vector<EngineId>& ended_processes);
+
+  std::uint64_t last_event_ = 0;
   std::map<EngineId, Engine> engines_;
 };
 
--- a/src/platform/engine_connection.cpp
+++ b/src/platform/engine_connection.cpp
@@ -125,8 +125,7 @@
   }
 }
 
-std::optional<ProtocolError> EngineConnection::process_next(
-    std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken> next) {
+std::optional<ProtocolError> EngineConnection::process_next(NextFrame next) {
   if (const auto* malformed = std::get_if<engine_frames::Broken>(&next))
     return ProtocolError{ProtocolError::Kind::malformed_frame, malformed->what};
   partial_frame_since_.reset();  // it was completed: the time limit of the next one begins anew
--- a/src/platform/engine_connection.hpp
+++ b/src/platform/engine_connection.hpp
@@ -9,7 +9,10 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
+#include <variant>
 
 #include "core/event_dispatcher.hpp"
 #include "core/stream_table.hpp"
@@ -85,12 +88,13 @@
   [[nodiscard]] bool is_cancel_transmitted(core::StreamId stream);
 
  private:
+  using NextFrame = std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken>;
+
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<bool> connect();
   service::IoStatus receive_available();
   void process(std::string_view bytes);
-  std::optional<ProtocolError> process_next(
-      std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken> next);
+  std::optional<ProtocolError> process_next(NextFrame next);
   std::optional<ProtocolError> process_frame(engine_frames::Frame frame);
 
   void push_command(FrameQueue::Frame frame);
--- a/src/platform/paged_answer.cpp
+++ b/src/platform/paged_answer.cpp
@@ -2,46 +2,59 @@
 
 namespace paddlestand::platform {
 
+using engine_frames::Broken;
+using engine_frames::Reply;
+
 PagedAnswer::Step PagedAnswer::take(engine_frames::Answer answer) {
-  using engine_frames::Broken;
-  using engine_frames::Reply;
-  const bool begun = !pages_.empty();
-  std::size_t index = 0;
+  const bool is_started = !pages_.empty();
   switch (answer.code) {
     case Reply::ok:
-      if (begun) return Nothing{};
+      if (is_started) return Nothing{};
       pages_.resize(answer.pages);
-      missing_ = answer.pages;
-      break;
+      missing_pages_ = answer.pages;
+      return add_page(0, std::move(answer));
     case Reply::page:
-      if (!begun) return Broken{"a further page before the first"};
+      if (!is_started) return Broken{"a further page before the first"};
       if (answer.page >= pages_.size()) return Broken{"a page beyond the last"};
-      index = answer.page;
-      break;
+      return add_page(answer.page, std::move(answer));
     case Reply::full:
-      if (begun) return Nothing{};
-      head_ = std::move(answer);
-      return Done{core::Ending::full};
+      if (is_started) return Nothing{};
+      return end_with(core::Ending::full, std::move(answer));
     case Reply::over:
-      if (begun) return Nothing{};
-      head_ = std::move(answer);
-      return Done{core::Ending::expired};
-    case Reply::error: head_ = std::move(answer); return Done{core::Ending::engine_error};
+      if (is_started) return Nothing{};
+      return end_with(core::Ending::expired, std::move(answer));
+    case Reply::error: return end_with(core::Ending::engine_error, std::move(answer));
     case Reply::well:
     case Reply::ill: return Nothing{};
   }
+  return Nothing{};
+}
+
+PagedAnswer::Step PagedAnswer::end_with(core::Ending ending, engine_frames::Answer answer) {
+  head_ = std::move(answer);
+  return Done{ending};
+}
+
+PagedAnswer::Step PagedAnswer::add_page(std::size_t index, engine_frames::Answer answer) {
   if (pages_[index]) return Nothing{};
   if (!engine_frames::whole_rows(answer.body)) return Broken{"a page with a broken row"};
   if (bytes_ + answer.body.size() > most_result) return Broken{"a result that is too large"};
   bytes_ += answer.body.size();
   pages_[index] = std::move(answer.body);
   if (index == 0) head_ = std::move(answer);
-  if (--missing_ > 0)
-    return index == 0 ? Step{More{static_cast<std::uint32_t>(pages_.size())}} : Step{Nothing{}};
+  --missing_pages_;
+  if (missing_pages_ == 0) {
+    join_pages();
+    return Done{core::Ending::complete};
+  }
+  if (index == 0) return More{static_cast<std::uint32_t>(pages_.size())};
+  return Nothing{};
+}
+
+void PagedAnswer::join_pages() {
   body_.reserve(bytes_);
-  for (auto& page : pages_) body_ += *page;
-  pages_.assign(1, std::string{});
-  return Done{core::Ending::complete};
+  for (const auto& page : pages_) body_ += *page;
+  pages_.assign(1, std::string{});  // a duplicate is still recognised
 }
 
 }  // namespace paddlestand::platform
