--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -1,4 +1,4 @@
-// paddlestand platform
+/// `paddlestand platform`: the workload manager on the platform's protocol.
 #include <boost/asio/io_context.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -11,8 +11,11 @@
 namespace paddlestand::app {
 namespace {
 
+/// Command line and environment.
 struct PlatformOptions {
-  std::string config, listen, name;
+  std::string config;  // path
+  std::string listen;
+  std::string name;
   bool trace = false;
 };
 
@@ -21,24 +24,30 @@
   return problem != nullptr && problem->transient;
 }
 
-int run_platform(const PlatformOptions& options) {
-  if (options.config.empty())
-    return complain("PROXY_CONFIG is not set; wanted: the path of the configuration");
-  service::PendingSignals::install();
+/// Reads the configuration, again for as long as it can't be read for want of something.
+std::variant<platform::PlatformConfig, platform::Problem> read_config_with_retries(const std::string& path) {
   const auto began = std::chrono::steady_clock::now();
-  auto read = platform::read_config(options.config);
+  auto read = platform::read_config(path);
   while (is_transient(read) && std::chrono::steady_clock::now() < began + longest_start) {
     std::this_thread::sleep_for(start_pause);
-    read = platform::read_config(options.config);
+    read = platform::read_config(path);
   }
+  return read;
+}
+
+int run_platform(const PlatformOptions& options) {
+  if (options.config.empty())
+    return complain("PROXY_CONFIG is not set; wanted: the path of the configuration");
+  service::PendingSignals::install();
+  auto read = read_config_with_retries(options.config);
   if (const auto* problem = std::get_if<platform::Problem>(&read)) return complain(problem->text);
   auto& config = std::get<platform::PlatformConfig>(read);
   if (!options.name.empty()) config.name = options.name;
   if (!options.listen.empty()) {
-    const auto at = platform::parse_address(options.listen);
-    if (const auto* problem = std::get_if<platform::Problem>(&at))
+    const auto address = platform::parse_address(options.listen);
+    if (const auto* problem = std::get_if<platform::Problem>(&address))
       return complain("PROXY_LISTEN: " + problem->text);
-    config.listen = std::get<platform::Address>(at);
+    config.listen = std::get<platform::Address>(address);
   }
   const std::string listen = platform::text_of(config.listen);
   Hosted<platform::PlatformServer> hosted;
--- a/tests/incidents/incident_run.hpp
+++ b/tests/incidents/incident_test.hpp
@@ -1,4 +1,4 @@
-// A manager as a process of its own, engines that do what a test tells them, and clients: what the tests of
+// A manager as a process of its own, engines that a test drives, and clients: what the tests of
 // incidents share. One thread: engines are served while a client's answer is waited for.
 #pragma once
 
@@ -10,21 +10,21 @@
 
 namespace paddlestand::platform::test {
 
-class IncidentRun : public ::testing::Test {
+class IncidentTest : public ::testing::Test {
  protected:
   using Connection = CountingEngine::Connection;
   using Clock = std::chrono::steady_clock;
   using OnFrame = std::function<void(CountingEngine&, Connection&, const engine_frames::Frame&)>;
-  using What = std::function<void(CountingEngine&, Connection&)>;
+  using Step = std::function<void(CountingEngine&, Connection&)>;
 
   struct Conditions {
     int receive_buffer = 0;  // of the engines' connections; zero: the system's choice
-    std::uint32_t most_descriptors = 256;  // that the manager is told
+    std::uint32_t max_descriptors = 256;  // that the manager may use
     std::string call_faults{};  // of the manager's system calls
   };
 
-  explicit IncidentRun(std::size_t engines) : IncidentRun(engines, Conditions{}) {}
-  IncidentRun(std::size_t engines, Conditions conditions) : conditions_(std::move(conditions)) {
+  explicit IncidentTest(std::size_t engines) : IncidentTest(engines, Conditions{}) {}
+  IncidentTest(std::size_t engines, Conditions conditions) : conditions_(std::move(conditions)) {
     for (std::size_t i = 0; i < engines; ++i) engines_.emplace_back(conditions_.receive_buffer);
   }
 
@@ -34,24 +34,26 @@
     for (const CountingEngine& one : engines_) ports.push_back(one.port());
     started_ = Clock::now();
     manager_ = std::make_unique<ManagerProcess>(
-        process_config(ports, port, channel_.port(), conditions_.most_descriptors), port,
+        process_config(ports, port, discovery_listener_.port(), conditions_.max_descriptors), port,
         conditions_.call_faults);
     ASSERT_TRUE(manager_->ready());
     client_ = std::make_unique<RawClient>(port);
-    serve_some();
+    establish_good_record();
   }
 
   // So that the engines have a good record: one error alone would eject the only one.
-  void serve_some() {
+  void establish_good_record() {
     constexpr int requests = 20;
     for (int i = 0; i < requests; ++i) {
       const int number = next_number();
-      client_->ask(number, 0x6600000000000000U + static_cast<unsigned>(number));
-      ASSERT_EQ(outcome_while(*client_, serve_all), "served:a\tb\tc\n");
+      client_->send_request(number, 0x6600000000000000U + static_cast<unsigned>(number));
+      ASSERT_EQ(outcome_while(*client_, serve_request), "served:a\tb\tc\n");
     }
   }
-  static void serve_all(CountingEngine& engine, Connection& on, const engine_frames::Frame& frame) {
-    if (frame.code == static_cast<std::uint8_t>(engine_frames::Command::request)) engine.serve(on, frame.id);
+  static void serve_request(CountingEngine& engine, Connection& connection,
+                            const engine_frames::Frame& frame) {
+    if (frame.code == static_cast<std::uint8_t>(engine_frames::Command::request))
+      engine.serve(connection, frame.id);
   }
 
   // Serves the engines until the client has an answer.
@@ -65,28 +67,29 @@
     while (!done()) {
       if (Clock::now() > end) return false;
       for (CountingEngine& one : engines_)
-        one.step([&](Connection& on, const auto& frame) { on_frame(one, on, frame); });
-      run_due();
+        one.poll([&](Connection& connection, const auto& frame) { on_frame(one, connection, frame); });
+      run_due_steps();
     }
     return true;
   }
   // On the same connection, if it is still open then.
-  void after(Duration time, CountingEngine& engine, const Connection& on, What what) {
-    due_.emplace(Clock::now() + std::chrono::duration_cast<Clock::duration>(time),
-                 [&engine, number = on.number, what = std::move(what)] {
-                   if (Connection* then = engine.find(number)) what(engine, *then);
-                 });
+  void after(Duration time, CountingEngine& engine, const Connection& connection, Step what) {
+    due_steps_.emplace(Clock::now() + std::chrono::duration_cast<Clock::duration>(time),
+                       [&engine, number = connection.number, what = std::move(what)] {
+                         if (Connection* same_connection = engine.find(number))
+                           what(engine, *same_connection);
+                       });
   }
 
   CountingEngine& engine(std::size_t i = 0) { return engines_[i]; }
-  [[nodiscard]] std::size_t most_out() const {
+  [[nodiscard]] std::size_t max_concurrent_attempts() const {
     std::size_t most = 0;
-    for (const CountingEngine& one : engines_) most = std::max(most, one.most_out());
+    for (const CountingEngine& one : engines_) most = std::max(most, one.max_concurrent_attempts());
     return most;
   }
   ManagerProcess& manager() { return *manager_; }
   RawClient& client() { return *client_; }
-  Listener& discovery_server() { return channel_; }
+  Listener& discovery_server() { return discovery_listener_; }
   int next_number() { return ++last_number_; }
   // Since just before the manager was started.
   void sleep_until(Duration since_start) const {
@@ -94,10 +97,10 @@
   }
 
  private:
-  void run_due() {
-    while (!due_.empty() && due_.begin()->first <= Clock::now()) {
-      const auto what = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
+  void run_due_steps() {
+    while (!due_steps_.empty() && due_steps_.begin()->first <= Clock::now()) {
+      const auto what = std::move(due_steps_.begin()->second);
+      due_steps_.erase(due_steps_.begin());
       what();
     }
   }
@@ -105,10 +108,10 @@
   Conditions conditions_;
   Clock::time_point started_;
   std::deque<CountingEngine> engines_;
-  Listener channel_;
+  Listener discovery_listener_;
   std::unique_ptr<ManagerProcess> manager_;
   std::unique_ptr<RawClient> client_;
-  std::multimap<Clock::time_point, std::function<void()>> due_;
+  std::multimap<Clock::time_point, std::function<void()>> due_steps_;
   int last_number_ = 0;
 };
 
--- a/tests/incidents/late_frames_test.cpp
+++ b/tests/incidents/late_frames_test.cpp
@@ -6,15 +6,15 @@
 //   page
 //      of its result and answers `error` to each further page, since it does not know the query any more;
 //   2. the manager sends the second attempt to the same engine, on the same connection, under the same id;
-//   3. the rest of what the engine had to say of the first attempt comes: the second `error`, a copy;
-//   4. the manager takes it for the end of the second attempt, which runs on, and sends a third.
+//   3. the engine's remaining frames about the first attempt arrive: the second `error`, a duplicate;
+//   4. the manager credits them to the second attempt, which still runs, and sends a third.
 //
 // The cause: a stream was known by the request's id alone, and the id was free again at the first end. A late
 // frame about an attempt that had ended was credited to its successor, since both went by one name.
 //
 // The evidence: the engine's own account on one connection, two requests under one id without an end written
 // between them, within 1 ms of the late frame; with the late frame held back there was one further attempt.
-#include "incident_run.hpp"
+#include "incident_test.hpp"
 
 namespace paddlestand::platform::test {
 namespace {
@@ -22,108 +22,132 @@
 using engine_frames::Reply;
 using Connection = CountingEngine::Connection;
 
-constexpr std::uint64_t asked_id = 0x7700000000000001;
-constexpr auto second_attempt_runs = 250ms;  // for the rest of the first one's frames to do their harm
+constexpr std::uint64_t request_trace = 0x7700000000000001;
+constexpr auto second_attempt_duration = 250ms;  // long enough for the first one's remaining frames to arrive
 const std::string late_row = "of\tthe\tfirst\n", second_row = "of\tthe\tsecond\n";
 
 // What the engine does with the first attempt.
-struct Way {
+struct FailureMode {
   const char* name;
   const char* class_name;
-  bool runs_again;  // whether a further attempt may follow
-  std::function<void(CountingEngine&, Connection&)> at_once;
-  std::function<void(CountingEngine&, Connection&)> later;  // 30 ms after
-  // Further pages that are asked for are answered so.
+  bool expects_retry;  // whether a further attempt may follow
+  std::function<void(CountingEngine&, Connection&)> immediate_step;
+  std::function<void(CountingEngine&, Connection&)> delayed_step;  // 30 ms after
+  // How requests for further pages are answered.
   std::function<void(CountingEngine&, Connection&, const engine_frames::Frame&)> on_page;
 };
 
-void error(CountingEngine& engine, Connection& on) { engine.answer(on, Reply::error, asked_id); }
+void answer_error(CountingEngine& engine, Connection& connection) {
+  engine.answer(connection, Reply::error, request_trace);
+}
 // A copy ends nothing: by the engine's account its attempt has ended before.
-void copy(Connection& on, Reply code, std::string_view fields = {}, std::string_view body = {}) {
-  on.side.answer(static_cast<std::uint8_t>(code), asked_id, fields, body);
+void send_copy(Connection& connection, Reply code, std::string_view fields = {}, std::string_view body = {}) {
+  connection.peer.answer(static_cast<std::uint8_t>(code), request_trace, fields, body);
+}
+void reject_unknown_page(CountingEngine&, Connection& connection, const engine_frames::Frame&) {
+  send_copy(connection, Reply::error);
 }
-void page_is_unknown(CountingEngine&, Connection& on, const engine_frames::Frame&) { copy(on, Reply::error); }
-void first_page(CountingEngine& engine, Connection& on) {
-  engine.answer(on, Reply::ok, asked_id, "parts=3,work=5", "a\tb\tc\n");
+void answer_first_page(CountingEngine& engine, Connection& connection) {
+  engine.answer(connection, Reply::ok, request_trace, "parts=3,work=5", "a\tb\tc\n");
 }
 
-std::vector<Way> ways() {
-  const auto twice = [](Reply code) {
-    return [code](CountingEngine& engine, Connection& on) {
-      engine.answer(on, code, asked_id);
-      copy(on, code);
+std::vector<FailureMode> failure_modes() {
+  const auto answered_twice = [](Reply code) {
+    return [code](CountingEngine& engine, Connection& connection) {
+      engine.answer(connection, code, request_trace);
+      send_copy(connection, code);
     };
   };
-  const auto late = [](Reply code, std::string fields = {}, std::string body = {}) {
-    return [=](CountingEngine&, Connection& on) { copy(on, code, fields, body); };
+  const auto late_copy = [](Reply code, std::string fields = {}, std::string body = {}) {
+    return [=](CountingEngine&, Connection& connection) { send_copy(connection, code, fields, body); };
   };
   return {
-      {"ErrorAlone", "report", true, error, {}, {}},
-      {"PagesUnknown", "report", true, first_page, {}, page_is_unknown},
-      {"ErrorTwice", "report", true, twice(Reply::error), {}, {}},
-      {"ErrorAndLateCopy", "report", true, error, late(Reply::error), {}},
-      {"KeyedErrorTwice", "load", true, twice(Reply::error), {}, {}},
-      {"KeyedErrorAndLateCopy", "load", true, error, late(Reply::error), {}},
-      {"UnsafeOverTwice", "settle", true, twice(Reply::over), {}, {}},
+      {"ErrorAlone", "report", true, answer_error, {}, {}},
+      {"PagesUnknown", "report", true, answer_first_page, {}, reject_unknown_page},
+      {"ErrorTwice", "report", true, answered_twice(Reply::error), {}, {}},
+      {"ErrorAndLateCopy", "report", true, answer_error, late_copy(Reply::error), {}},
+      {"KeyedErrorTwice", "load", true, answered_twice(Reply::error), {}, {}},
+      {"KeyedErrorAndLateCopy", "load", true, answer_error, late_copy(Reply::error), {}},
+      {"UnsafeOverTwice", "settle", true, answered_twice(Reply::over), {}, {}},
       {"UnsafeOverAndLateCopy",
        "settle",
        true,
-       [](CountingEngine& engine, Connection& on) { engine.answer(on, Reply::over, asked_id); },
-       late(Reply::over),
+       [](CountingEngine& engine, Connection& connection) {
+         engine.answer(connection, Reply::over, request_trace);
+       },
+       late_copy(Reply::over),
        {}},
-      {"UnsafeFullTwice", "settle", true, twice(Reply::full), {}, {}},
+      {"UnsafeFullTwice", "settle", true, answered_twice(Reply::full), {}, {}},
       {"FullAndLateCopy",
        "report",
        true,
-       [](CountingEngine& engine, Connection& on) { engine.answer(on, Reply::full, asked_id); },
-       late(Reply::full),
+       [](CountingEngine& engine, Connection& connection) {
+         engine.answer(connection, Reply::full, request_trace);
+       },
+       late_copy(Reply::full),
+       {}},
+      {"ErrorAndLateAnswer",
+       "report",
+       true,
+       answer_error,
+       late_copy(Reply::ok, "parts=1,work=5", late_row),
+       {}},
+      {"ErrorAndLatePage", "report", true, answer_error, late_copy(Reply::page, "part_no=1", late_row), {}},
+      {"ErrorAndLateFirstPage",
+       "report",
+       true,
+       answer_error,
+       late_copy(Reply::ok, "parts=2,work=5", late_row),
        {}},
-      {"ErrorAndLateAnswer", "report", true, error, late(Reply::ok, "parts=1,work=5", late_row), {}},
-      {"ErrorAndLatePage", "report", true, error, late(Reply::page, "part_no=1", late_row), {}},
-      {"ErrorAndLateFirstPage", "report", true, error, late(Reply::ok, "parts=2,work=5", late_row), {}},
   };
 }
 
-class LateFrames : public IncidentRun, public ::testing::WithParamInterface<std::size_t> {
+class LateFrames : public IncidentTest, public ::testing::WithParamInterface<std::size_t> {
  protected:
-  LateFrames() : IncidentRun(1), way_(ways()[GetParam()]) {}
+  LateFrames() : IncidentTest(1), failure_mode_(failure_modes()[GetParam()]) {}
 
-  void on_request(Connection& on) {
-    if (engine().begun(asked_id) == 1) {
-      way_.at_once(engine(), on);
-      if (way_.later) after(30ms, engine(), on, way_.later);
+  void on_request(Connection& connection) {
+    if (engine().attempts_started(request_trace) == 1) {
+      failure_mode_.immediate_step(engine(), connection);
+      if (failure_mode_.delayed_step) after(30ms, engine(), connection, failure_mode_.delayed_step);
       return;
     }
-    after(second_attempt_runs, engine(), on, [](CountingEngine& engine, Connection& then) {
-      if (then.out.contains(asked_id)) engine.serve(then, asked_id, second_row);
-    });
+    after(second_attempt_duration, engine(), connection,
+          [](CountingEngine& engine, Connection& same_connection) {
+            if (same_connection.active_attempts.contains(request_trace))
+              engine.serve(same_connection, request_trace, second_row);
+          });
   }
 
-  Way way_;
+  FailureMode failure_mode_;
 };
 
 TEST_P(LateFrames, NeverEndTheNextAttempt) {
-  const std::string more = way_.class_name == std::string("load")
+  const std::string more = failure_mode_.class_name == std::string("load")
                                ? R"(,"entity":"00000000000000aa","nonce":"5c0f6e1a2b3d4c59a8b7c6d5e4f30211")"
                                : "";
-  ASSERT_TRUE(client().wire().write(RawClient::line(next_number(), asked_id, way_.class_name, more, 5000)));
-  const std::string outcome =
-      outcome_while(client(), [&](CountingEngine& engine, Connection& on, const engine_frames::Frame& frame) {
-        if (frame.id != asked_id) return;
-        if (frame.code == 1) on_request(on);
-        if (frame.code == 6 && way_.on_page) way_.on_page(engine, on, frame);
+
+  ASSERT_TRUE(client().wire().write(
+      RawClient::request_line(next_number(), request_trace, failure_mode_.class_name, more, 5000)));
+
+  const std::string outcome = outcome_while(
+      client(), [&](CountingEngine& engine, Connection& connection, const engine_frames::Frame& frame) {
+        if (frame.id != request_trace) return;
+        if (frame.code == 1) on_request(connection);
+        if (frame.code == 6 && failure_mode_.on_page) failure_mode_.on_page(engine, connection, frame);
       });
-  EXPECT_EQ(engine().most_out(), 1U) << "attempts out at once\n" << manager().log();
-  EXPECT_EQ(engine().ids_used_again(), 0U) << "an id came twice on one connection";
-  if (way_.runs_again) {
-    EXPECT_EQ(engine().begun(asked_id), 2U);
+  EXPECT_EQ(engine().max_concurrent_attempts(), 1U) << "attempts out at once\n" << manager().log();
+  EXPECT_EQ(engine().reused_ids(), 0U) << "an id came twice on one connection";
+
+  if (failure_mode_.expects_retry) {
+    EXPECT_EQ(engine().attempts_started(request_trace), 2U);
     EXPECT_EQ(outcome, "served:" + second_row);
   }
-  EXPECT_EQ(manager().logged("violation"), 0U) << manager().log();
+  EXPECT_EQ(manager().count_logged("violation"), 0U) << manager().log();
 }
 
-INSTANTIATE_TEST_SUITE_P(Ways, LateFrames, ::testing::Range(std::size_t{0}, ways().size()),
-                         [](const auto& info) { return std::string(ways()[info.param].name); });
+INSTANTIATE_TEST_SUITE_P(Ways, LateFrames, ::testing::Range(std::size_t{0}, failure_modes().size()),
+                         [](const auto& info) { return std::string(failure_modes()[info.param].name); });
 
 }  // namespace
 }  // namespace paddlestand::platform::test
--- a/tests/incidents/stall_test.cpp
+++ b/tests/incidents/stall_test.cpp
@@ -1,10 +1,10 @@
-// What was seen: an engine was told 172 ms more than the client of its request had left, 22 ms beyond the
-// slack, in one of fifty fault runs in which managers were stopped for a moment and accepting failed.
+// What was seen: an engine was granted 172 ms more than the client of its request still had, 22 ms beyond the
+// tolerance, in one of fifty fault runs in which managers were stopped for a moment and accepting failed.
 //
 // The order of events:
 //   1. the manager is stopped; a client connects and sends its request;
-//   2. the manager goes on, 173 ms later, and accept fails;
-//   3. accept works again, 75 ms later: the connection is taken, the request is read and sent on.
+//   2. the manager is resumed, 173 ms later, and accept fails;
+//   3. accept succeeds, 75 ms later: the connection is accepted, the request is read and forwarded.
 //
 // The cause: how long a connection may have waited in the queue was counted from the first failed accept, as
 // if that had been made in time. The same for reading that fails. What the loop was behind at the first
@@ -13,49 +13,52 @@
 // The evidence: of 248 ms between the request and its arrival at the engine the manager counted 75, the time
 // since it went on by its log; the request was the first on its connection; runs without failing accepts keep
 // the slack behind stalls of the same length.
-#include "incident_run.hpp"
+#include "incident_test.hpp"
 
 namespace paddlestand::platform::test {
 namespace {
 
-constexpr std::uint64_t asked_id = 0x7700000000000003;
+constexpr std::uint64_t request_trace = 0x7700000000000003;
 constexpr int requested_client_timeout_ms = 3000;
 constexpr int slack_ms = 150;
 
-class StalledManager : public IncidentRun {
+class StalledManager : public IncidentTest {
  protected:
   explicit StalledManager(const std::string& call_faults = "")
-      : IncidentRun(1, {.call_faults = call_faults}) {}
+      : IncidentTest(1, {.call_faults = call_faults}) {}
 
-  // Serves what was asked at `asked`, and holds what the engine is told against what is left.
-  OnFrame check_deadlines(Clock::time_point asked) {
-    return [this, asked](CountingEngine& engine, Connection& on, const engine_frames::Frame& frame) {
+  // Serves requests sent at `requested_at`, and checks the time granted to the engine against the client's.
+  OnFrame check_deadlines(Clock::time_point requested_at) {
+    return [this, requested_at](CountingEngine& engine, Connection& connection,
+                                const engine_frames::Frame& frame) {
       if (frame.code == static_cast<std::uint8_t>(engine_frames::Command::request)) {
-        const auto told_ms = engine_frames::count_in(engine_frames::field(frame.fields, "ms").value_or(""));
-        const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - asked);
-        EXPECT_LE(told_ms.value_or(requested_client_timeout_ms),
+        const auto granted_ms =
+            engine_frames::count_in(engine_frames::field(frame.fields, "ms").value_or(""));
+        const auto waited =
+            std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - requested_at);
+        EXPECT_LE(granted_ms.value_or(requested_client_timeout_ms),
                   requested_client_timeout_ms - waited.count() + slack_ms)
             << "waited " << waited.count() << " ms";
       }
-      serve_all(engine, on, frame);
+      serve_request(engine, connection, frame);
     };
   }
-  void expect_true_deadline(RawClient& client, Clock::time_point asked) {
-    EXPECT_EQ(outcome_while(client, check_deadlines(asked)), "served:a\tb\tc\n");
+  void expect_correct_deadline(RawClient& client, Clock::time_point requested_at) {
+    EXPECT_EQ(outcome_while(client, check_deadlines(requested_at)), "served:a\tb\tc\n");
   }
 };
 
-TEST_F(StalledManager, TellsAnEngineNoMoreThanItsClientHasLeft) {
+TEST_F(StalledManager, GrantsAnEngineNoMoreThanTheClientsTime) {
   constexpr unsigned stalls = 6;
   for (unsigned i = 0; i < stalls; ++i) {
-    const std::uint64_t id = asked_id + i;
+    const std::uint64_t id = request_trace + i;
     manager().stop();
-    const auto asked = Clock::now();
-    ASSERT_TRUE(
-        client().wire().write(RawClient::line(next_number(), id, "report", "", requested_client_timeout_ms)));
+    const auto requested_at = Clock::now();
+    ASSERT_TRUE(client().wire().write(
+        RawClient::request_line(next_number(), id, "report", "", requested_client_timeout_ms)));
     std::this_thread::sleep_for(300ms);
-    manager().go_on();
-    expect_true_deadline(client(), asked);
+    manager().resume();
+    expect_correct_deadline(client(), requested_at);
     std::this_thread::sleep_for(std::chrono::milliseconds(17 * i));  // at another distance from what is due
   }
 }
@@ -63,41 +66,43 @@
 // Another soak run, of the same kind: of four requests that came in one read the manager sent two on, was
 // stopped, and sent the others on 278 ms later with all of their clients' time. It reckoned from when it
 // acted on a request, not from when it had read it. Stopped here at many points of such turns.
-TEST_F(StalledManager, TellsAnEngineNoMoreThanItsClientHasLeftWhereverItsTurnIsInterrupted) {
-  constexpr unsigned most_tries = 60, wanted = 4, requests = 30;
-  // How long after the requests: follows what is seen, as turns of a slow build or machine come later.
+TEST_F(StalledManager, GrantsAnEngineNoMoreThanTheClientsTimeWhereverATurnIsInterrupted) {
+  constexpr unsigned max_tries = 60, wanted_interruptions = 4, requests = 30;
+  // After the requests; adapts to the speed of the build and the machine.
   std::chrono::microseconds delay{100};
-  auto ask_together = [&, id = asked_id + 100]() mutable {
+  auto send_together = [&, id = request_trace + 100]() mutable {
     std::string lines;
     for (unsigned k = 0; k < requests; ++k)
-      lines += RawClient::line(next_number(), ++id, "report", "", requested_client_timeout_ms);
+      lines += RawClient::request_line(next_number(), ++id, "report", "", requested_client_timeout_ms);
     EXPECT_TRUE(client().wire().write(lines));
     return Clock::now();
   };
-  const auto answer_all = [&](Clock::time_point asked) {
-    for (unsigned k = 0; k < requests; ++k) expect_true_deadline(client(), asked);
+  const auto expect_all_answered = [&](Clock::time_point requested_at) {
+    for (unsigned k = 0; k < requests; ++k) expect_correct_deadline(client(), requested_at);
   };
-  answer_all(ask_together());  // a connection for each is open from here on, and requests go out at once
-  unsigned interrupted = 0;
-  for (unsigned i = 0; i < most_tries && interrupted < wanted; ++i) {
+  expect_all_answered(
+      send_together());  // a connection for each is open from here on, and requests go out at once
+  unsigned interruptions = 0;
+
+  for (unsigned i = 0; i < max_tries && interruptions < wanted_interruptions; ++i) {
     std::this_thread::sleep_for(
-        100ms);  // what is read right after a stall is reckoned to have come before it
-    const auto asked = ask_together();
-    while (Clock::now() < asked + delay) {}  // a sleep would be too long
+        100ms);  // input that is read right after a stall counts as received before it
+    const auto requested_at = send_together();
+    while (Clock::now() < requested_at + delay) {}  // a sleep would be too long
     manager().stop();
     std::this_thread::sleep_for(250ms);
     unsigned sent = 0;
-    engine().step([&](Connection& on, const auto& frame) {
-      serve_all(engine(), on, frame);
+    engine().poll([&](Connection& connection, const auto& frame) {
+      serve_request(engine(), connection, frame);
       ++sent;
     });
     if (sent == 0) delay += delay / 4;
     if (sent == requests) delay -= delay / 4;
-    interrupted += sent > 0 && sent < requests ? 1 : 0;
-    manager().go_on();
-    answer_all(asked);
+    interruptions += sent > 0 && sent < requests ? 1 : 0;
+    manager().resume();
+    expect_all_answered(requested_at);
   }
-  EXPECT_EQ(interrupted, wanted) << "turns that were interrupted";
+  EXPECT_EQ(interruptions, wanted_interruptions) << "turns that were interrupted";
 }
 
 class StalledManagerThatCannotAccept : public StalledManager {
@@ -105,16 +110,18 @@
   StalledManagerThatCannotAccept() : StalledManager("accept ENFILE 1 1 1.45") {}
 };
 
-TEST_F(StalledManagerThatCannotAccept, TellsAnEngineNoMoreThanItsClientHasLeft) {
+TEST_F(StalledManagerThatCannotAccept, GrantsAnEngineNoMoreThanTheClientsTime) {
   sleep_until(950ms);
   manager().stop();
-  const auto asked = Clock::now();
-  RawClient fresh(manager().port());
-  ASSERT_TRUE(fresh.wire().write(RawClient::line(1, asked_id, "report", "", requested_client_timeout_ms)));
+  const auto requested_at = Clock::now();
+  RawClient new_client(manager().port());
+  ASSERT_TRUE(new_client.wire().write(
+      RawClient::request_line(1, request_trace, "report", "", requested_client_timeout_ms)));
+
   sleep_until(1250ms);
-  manager().go_on();
-  expect_true_deadline(fresh, asked);
-  EXPECT_EQ(manager().logged("accept"), 1U) << manager().log();
+  manager().resume();
+  expect_correct_deadline(new_client, requested_at);
+  EXPECT_EQ(manager().count_logged("accept"), 1U) << manager().log();
 }
 
 class StalledManagerThatCannotRead : public StalledManager {
@@ -122,15 +129,16 @@
   StalledManagerThatCannotRead() : StalledManager("recv ENOMEM 1 1 1.45") {}
 };
 
-TEST_F(StalledManagerThatCannotRead, TellsAnEngineNoMoreThanItsClientHasLeft) {
+TEST_F(StalledManagerThatCannotRead, GrantsAnEngineNoMoreThanTheClientsTime) {
   sleep_until(950ms);
   manager().stop();
-  const auto asked = Clock::now();
+  const auto requested_at = Clock::now();
   ASSERT_TRUE(client().wire().write(
-      RawClient::line(next_number(), asked_id, "report", "", requested_client_timeout_ms)));
+      RawClient::request_line(next_number(), request_trace, "report", "", requested_client_timeout_ms)));
+
   sleep_until(1250ms);
-  manager().go_on();
-  expect_true_deadline(client(), asked);
+  manager().resume();
+  expect_correct_deadline(client(), requested_at);
 }
 
 }  // namespace
--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -1,5 +1,6 @@
-// Attempts at engines whose connections end, hang or come up late, on real connections: what may have run is
-// not sent again where that would be unsafe, what surely never ran goes elsewhere, and nothing stays behind.
+// Attempts at engines whose connections close, hang or are established late, on real connections: an attempt
+// that may have run is not retried where that would be unsafe, one that surely never ran is retried
+// elsewhere, and nothing leaks.
 #include "peers.hpp"
 
 namespace paddlestand::platform::test {
@@ -7,96 +8,101 @@
 
 using namespace std::string_literals;
 
-class Attempts : public TwoEngines {
+class AttemptTest : public TwoEngineTest {
  protected:
-  PlatformConfig with_unsafe() {
+  PlatformConfig non_idempotent_config() {
     PlatformConfig settings = config();
     settings.core.module.classes[0].repeat = Idempotency::non_idempotent;
     settings.core.module.may_cancel = false;  // attempts stay out, however long a test takes
     return settings;
   }
-  static std::size_t discovery_servers(Served& served) {
-    return served.run([](PlatformServer& p) { return p.engine_connections(); });
-  }
-  bool nobody_is_asked() {
-    EngineSide first(engines_[0], 0), second(engines_[1], 0);
-    return !first.open() && !second.open();
+  bool no_engine_is_connected() {
+    EnginePeer first(engine_listeners_[0], 0), second(engine_listeners_[1], 0);
+    return !first.is_open() && !second.is_open();
   }
 };
 
-// Each way in which an attempt may have run: the client is told that it failed, and nothing is sent again.
-TEST_F(Attempts, WhatMayHaveRunIsNotSentAgainWhereThatIsUnsafe) {
-  std::string good, spoilt;
+// Each failure after which an attempt may have run: the client gets an error, and nothing is retried.
+TEST_F(AttemptTest, AnAttemptThatMayHaveRunIsNotRetriedForANonIdempotentRequest) {
+  std::string good, corrupted;
   engine_frames::put_frame(good, engine_frames::Side::engine, 0, 0x51, "parts=2,work=9", "a\tb\tc\n");
-  spoilt = good;
-  spoilt[spoilt.size() - 6] = static_cast<char>(spoilt[spoilt.size() - 6] ^ 4);
-  const std::vector<std::function<void(EngineSide&)>> ways{
-      [](EngineSide& e) { e.wire().reset(); },
-      [](EngineSide& e) { e.wire().close(); },
-      [](EngineSide& e) { e.answer(4, 0x51); },
-      [&](EngineSide& e) { e.wire().write(spoilt); },
-      [&](EngineSide& e) { e.wire().write(good.substr(0, 20)), e.wire().close(); },
-      [&](EngineSide& e) { e.wire().write(good), e.wire().close(); },  // one page of two
-      [&](EngineSide& e) { e.wire().write(good); },  // and its rest never comes
-      [&](EngineSide& e) { e.wire().write(good.substr(0, 20)); },
+  corrupted = good;
+  corrupted[corrupted.size() - 6] = static_cast<char>(corrupted[corrupted.size() - 6] ^ 4);
+  const std::vector<std::function<void(EnginePeer&)>> failures{
+      [](EnginePeer& engine) { engine.wire().reset(); },
+      [](EnginePeer& engine) { engine.wire().close(); },
+      [](EnginePeer& engine) { engine.answer(4, 0x51); },
+      [&](EnginePeer& engine) { engine.wire().write(corrupted); },
+      [&](EnginePeer& engine) {
+        engine.wire().write(good.substr(0, 20));
+        engine.wire().close();
+      },
+      [&](EnginePeer& engine) {  // one page of two
+        engine.wire().write(good);
+        engine.wire().close();
+      },
+      [&](EnginePeer& engine) { engine.wire().write(good); },  // and the other page never arrives
+      [&](EnginePeer& engine) { engine.wire().write(good.substr(0, 20)); },
   };
-  for (std::size_t way = 0; way < ways.size(); ++way) {
-    Served served(with_unsafe());
-    RawClient client(served.port());
-    client.ask(1, 0x51);
-    EngineSide engine = whichever();
-    ASSERT_TRUE(engine.next()) << way;
-    ways[way](engine);
-    EXPECT_EQ(client.outcome(), "error:-32000") << way;
-    EXPECT_EQ(served.counts().sessions, 0U) << way;
-    EXPECT_EQ(served.counts().attempts_out, 0U) << way;
-    EXPECT_TRUE(nobody_is_asked()) << way;
+
+  for (std::size_t failure = 0; failure < failures.size(); ++failure) {
+    RunningServer server(non_idempotent_config());
+    RawClient client(server.port());
+    client.send_request(1, 0x51);
+    EnginePeer engine = accept_any_engine();
+    ASSERT_TRUE(engine.next()) << failure;
+    failures[failure](engine);
+    EXPECT_EQ(client.outcome(), "error:-32000") << failure;
+    EXPECT_EQ(server.counts().sessions, 0U) << failure;
+    EXPECT_EQ(server.counts().attempts_out, 0U) << failure;
+    EXPECT_TRUE(no_engine_is_connected()) << failure;
   }
 }
 
-// Each way in which it surely never ran: it is sent elsewhere, once.
-TEST_F(Attempts, WhatNeverRanIsSentElsewhereAlsoWhereARepeatIsUnsafe) {
+// Each answer by which it surely never ran: it is retried elsewhere, once.
+TEST_F(AttemptTest, AnAttemptThatNeverRanIsRetriedForANonIdempotentRequest) {
   for (const std::uint8_t code : {std::uint8_t{3}, std::uint8_t{5}}) {
-    Served served(with_unsafe());
-    RawClient client(served.port());
-    client.ask(1, 0x51);
-    EngineSide first = whichever();
+    RunningServer server(non_idempotent_config());
+    RawClient client(server.port());
+    client.send_request(1, 0x51);
+    EnginePeer first = accept_any_engine();
     ASSERT_TRUE(first.next());
     first.answer(code, 0x51);
-    std::optional<engine_frames::Frame> again;
-    std::optional<EngineSide> other;
+    std::optional<engine_frames::Frame> repeated;
+    std::optional<EnginePeer> other;
     EXPECT_TRUE(comes_true([&] {
-      again = first.next(1);
-      if (again) return true;
-      EngineSide side = EngineSide(engines_[0], 1);
-      if (!side.open()) side = EngineSide(engines_[1], 1);
-      if (side.open()) other.emplace(std::move(side));
-      if (other) again = other->next(1);
-      return again.has_value();
+      repeated = first.next(1);
+      if (repeated) return true;
+      EnginePeer side = EnginePeer(engine_listeners_[0], 1);
+      if (!side.is_open()) side = EnginePeer(engine_listeners_[1], 1);
+      if (side.is_open()) other.emplace(std::move(side));
+      if (other) repeated = other->next(1);
+      return repeated.has_value();
     }));
-    ASSERT_TRUE(again);
-    EXPECT_EQ(again->id, 0x51U);
+    ASSERT_TRUE(repeated);
+    EXPECT_EQ(repeated->id, 0x51U);
     (other ? *other : first).answer(0, 0x51, "parts=1", "a\tb\tc\n");
     EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
     EXPECT_FALSE(first.next(0));
   }
 }
 
-// One engine's connections do not come up within the time to connect. What waited for one goes elsewhere;
-// when they come up after all nothing is sent on them, and none is kept open.
-TEST_F(Attempts, AConnectionThatComesUpLateCarriesNothing) {
-  Full late;
-  PlatformConfig settings = with_unsafe();
-  settings.known[0].records[0].port = late.port();
-  Served served(std::move(settings));
-  RawClient client(served.port());
-  std::vector<EngineSide> sides;
+// One engine's connections are not established within the connect timeout. Requests that waited for one are
+// sent elsewhere; when it is established after all, nothing is sent on it and it does not stay open.
+TEST_F(AttemptTest, AConnectionEstablishedAfterItsTimeoutCarriesNoRequest) {
+  FullListener late_listener;
+  PlatformConfig settings = non_idempotent_config();
+  settings.known[0].records[0].port = late_listener.port();
+  RunningServer server(std::move(settings));
+  RawClient client(server.port());
+  std::vector<EnginePeer> sides;
+
   for (int id = 1; id <= 6; ++id) {
-    client.ask(id, 0x60U + static_cast<unsigned>(id));
+    client.send_request(id, 0x60U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
     EXPECT_TRUE(comes_true([&] {
-      if (EngineSide side(engines_[1], 1); side.open()) sides.push_back(std::move(side));
-      for (EngineSide& side : sides) {
+      if (EnginePeer side(engine_listeners_[1], 1); side.is_open()) sides.push_back(std::move(side));
+      for (EnginePeer& side : sides) {
         request = side.next(1);
         if (!request) continue;
         side.answer(0, request->id, "parts=1", "a\tb\tc\n");
@@ -106,124 +112,120 @@
     })) << id;
     EXPECT_EQ(client.outcome(), "served:a\tb\tc\n") << id;
   }
-  late.let_in();
-  EXPECT_TRUE(comes_true([&] { return served.counts().channels == 0; }));
+  late_listener.accept_all();
+  EXPECT_TRUE(comes_true([&] { return server.counts().channels == 0; }));
+
   const std::size_t open = sides.size();
-  EXPECT_TRUE(comes_true([&] { return discovery_servers(served) <= open; }));
+  EXPECT_TRUE(comes_true([&] { return server.engine_connections() <= open; }));
+
   for (;;) {
-    EngineSide side(late, 1500);
-    if (!side.open()) break;
-    const auto came = side.next(0);
-    EXPECT_TRUE(!came || came->code != 1) << "a request on a connection that came up late";
+    EnginePeer side(late_listener, 1500);
+    if (!side.is_open()) break;
+    const auto received = side.next(0);
+    EXPECT_TRUE(!received || received->code != 1) << "a request on a connection that came up late";
   }
 }
 
-// The engine is told to drain while a connection to it is opening: what waits goes elsewhere.
-TEST_F(Attempts, ADrainWhileTheConnectionOpensSendsTheRequestElsewhere) {
-  Full opening;
-  PlatformConfig settings = with_unsafe();
+// The engine begins to drain while a connection to it is opening: the waiting request is sent elsewhere.
+TEST_F(AttemptTest, DrainingDuringConnectSendsTheRequestToAnotherEngine) {
+  FullListener opening;
+  PlatformConfig settings = non_idempotent_config();
   settings.core.connect_timeout = 20s;
-  settings.known[0].records = {engine_at(1, opening.port())};
-  Served served(std::move(settings));
-  Told told(channel_);
-  RawClient client(served.port());
-  client.ask(1, 0x71);
-  EXPECT_TRUE(comes_true([&] { return served.counts().attempts_out == 1; }));
-  told.event(2, {engine_at(1, opening.port(), EngineState::draining), engine_at(2, engines_[1].port())});
-  EngineSide other(engines_[1]);
+  settings.known[0].records = {engine_record(1, opening.port())};
+  RunningServer server(std::move(settings));
+  DiscoveryPeer discovery_peer(discovery_listener_);
+  RawClient client(server.port());
+
+  client.send_request(1, 0x71);
+  EXPECT_TRUE(comes_true([&] { return server.counts().attempts_out == 1; }));
+
+  discovery_peer.send_event(2, {engine_record(1, opening.port(), EngineState::draining),
+                                engine_record(2, engine_listeners_[1].port())});
+  EnginePeer other(engine_listeners_[1]);
   ASSERT_TRUE(other.next());
+
   other.answer(0, 0x71, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
-  opening.let_in();
-  EngineSide late(opening, 1500);
-  EXPECT_TRUE(!late.open() || !late.next(0));
-  EXPECT_EQ(served.counts().channels, 0U);
+
+  opening.accept_all();
+  EnginePeer late_listener(opening, 1500);
+  EXPECT_TRUE(!late_listener.is_open() || !late_listener.next(0));
+  EXPECT_EQ(server.counts().channels, 0U);
 }
 
 // ---- Hand-overs ----
 
 // The engine closes a resting connection in the turn in which the next request is to go out on it.
-TEST_F(Attempts, ARequestDoesNotGoOutOnAConnectionWhoseEndIsHere) {
-  PlatformConfig settings = with_unsafe();
+TEST_F(AttemptTest, ARequestIsNotSentOnAConnectionThatTheEngineHasClosed) {
+  PlatformConfig settings = non_idempotent_config();
   settings.known[0].records.resize(1);
-  Served served(std::move(settings));
-  const std::uint16_t port = served.port();
+  RunningServer server(std::move(settings));
+  const std::uint16_t port = server.port();
   RawClient client(port);
-  client.ask(1, 0x81);
-  EngineSide resting(engines_[0]);
-  ASSERT_TRUE(resting.next());
-  resting.answer(0, 0x81, "parts=1", "a\tb\tc\n");
+
+  client.send_request(1, 0x81);
+  EnginePeer idle_engine(engine_listeners_[0]);
+  ASSERT_TRUE(idle_engine.next());
+
+  idle_engine.answer(0, 0x81, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
+
   // On the loop: both are there before it looks, the request's socket first.
-  served.run([&](PlatformServer&) {
-    client.ask(2, 0x82);
-    resting.wire().shut_down();
+  server.run([&](PlatformServer&) {
+    client.send_request(2, 0x82);
+    idle_engine.wire().shut_down();
     return 0;
   });
-  EngineSide fresh(engines_[0]);
-  const auto request = fresh.next();
+  EnginePeer new_engine(engine_listeners_[0]);
+  const auto request = new_engine.next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->id, 0x82U);
-  fresh.answer(0, 0x82, "parts=1", "d\te\tf\n");
+
+  new_engine.answer(0, 0x82, "parts=1", "d\te\tf\n");
   EXPECT_EQ(client.outcome(), "served:d\te\tf\n");
-  EXPECT_FALSE(resting.next(0));
+  EXPECT_FALSE(idle_engine.next(0));
 }
 
 // An answer and its connection's end in one read: it counts.
-TEST_F(Attempts, AnAnswerRightBeforeTheConnectionsEndIsServed) {
-  Served served(with_unsafe());
-  RawClient client(served.port());
-  client.ask(1, 0x91);
-  EngineSide engine = whichever();
+TEST_F(AttemptTest, AnAnswerRightBeforeTheConnectionClosesIsServed) {
+  RunningServer server(non_idempotent_config());
+  RawClient client(server.port());
+
+  client.send_request(1, 0x91);
+  EnginePeer engine = accept_any_engine();
   ASSERT_TRUE(engine.next());
-  served.run([&](PlatformServer&) {
+
+  server.run([&](PlatformServer&) {
     engine.answer(0, 0x91, "parts=1", "a\tb\tc\n");
     engine.wire().close();
     return 0;
   });
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
-  EXPECT_TRUE(comes_true([&] { return discovery_servers(served) == 0; }));
+  EXPECT_TRUE(comes_true([&] { return server.engine_connections() == 0; }));
 }
 
 // A second copy of an answer, behind the next request on that connection: it is nobody's.
-TEST_F(Attempts, ASecondAnswerIsNotTakenForTheNextRequests) {
-  PlatformConfig settings = with_unsafe();
+TEST_F(AttemptTest, ADuplicateAnswerIsNotCreditedToTheNextRequest) {
+  PlatformConfig settings = non_idempotent_config();
   settings.known[0].records.resize(1);
-  Served served(std::move(settings));
-  RawClient client(served.port());
-  client.ask(1, 0xa1);
-  EngineSide engine(engines_[0]);
+  RunningServer server(std::move(settings));
+  RawClient client(server.port());
+
+  client.send_request(1, 0xa1);
+  EnginePeer engine(engine_listeners_[0]);
   ASSERT_TRUE(engine.next());
+
   engine.answer(0, 0xa1, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
-  client.ask(2, 0xa2);
+
+  client.send_request(2, 0xa2);
   ASSERT_TRUE(engine.next());
+
   engine.answer(0, 0xa1, "parts=1", "a\tb\tc\n");
   engine.answer(0, 0xa2, "parts=1", "d\te\tf\n");
   EXPECT_EQ(client.outcome(), "served:d\te\tf\n");
   EXPECT_EQ(client.last_id(), 2);
 }
 
-// ---- The command channel ----
-
-// The event comes in the very turn in which its silence is found: it is taken, or asked for again.
-TEST_F(Attempts, AnEventInTheTurnOfTheBeatsTimeOutIsNotLost) {
-  Served served(config());
-  std::optional<Told> told;
-  told.emplace(channel_);
-  served.run([&](PlatformServer&) {
-    std::this_thread::sleep_for(2300ms);  // beyond two beats
-    told->event(2, {engine_at(3, engines_[0].port())});
-    return 0;
-  });
-  const auto last = [&] { return served.run([](PlatformServer& p) { return p.last_event(); }); };
-  if (!comes_true([&] { return last() == 2 || !told->wire.read(1); })) FAIL();
-  if (last() == 2) return;
-  Told again(channel_);
-  EXPECT_EQ(again.from, 1U);
-  again.event(2, {engine_at(3, engines_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return last() == 2; }));
-}
-
 }  // namespace
 }  // namespace paddlestand::platform::test
--- /dev/null
+++ b/tests/platform/client_close_test.cpp
@@ -0,0 +1,303 @@
+// How connections of clients end, from either side: pending output arrives, late input is not acted on, a
+// client that has disconnected costs nothing more. The peers force the order of events; no test depends on
+// how long anything takes.
+#include "peers.hpp"
+
+namespace paddlestand::platform::test {
+namespace {
+
+using namespace std::string_literals;
+
+class ClientCloseTest : public PlatformServerTest {
+ protected:
+  std::vector<EnginePeer> idle_engines_;
+};
+
+// The manager decides on the end while bytes lie unread: closed over them, the connection would be reset.
+TEST_F(ClientCloseTest, AConnectionRejectedOverUnreadInputIsShutDownAndNotReset) {
+  RunningServer server(config());
+  RawClient client(server.port());
+
+  client.wire().write(std::string(200'000, 'x'));  // read in parts of 64 KiB; too long at 96 KiB
+  EXPECT_EQ(client.outcome(), "error:-32600");
+  EXPECT_TRUE(client.wire().is_shut_down_by_peer());
+  EXPECT_FALSE(client.wire().was_reset());
+
+  client.wire().close();
+  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+}
+
+TEST_F(ClientCloseTest, ARequestAfterTheShutdownIsDroppedAndTheConnectionNotReset) {
+  RunningServer server(config());
+  RawClient client(server.port());
+
+  client.wire().write("noise\n");
+  EXPECT_EQ(client.outcome(), "error:-32700");
+  EXPECT_TRUE(client.wire().is_shut_down_by_peer());
+  EXPECT_TRUE(client.wire().write(RawClient::request_line(1, 0x21)));  // it crossed the shutdown
+
+  RawClient regular_client(server.port());
+  regular_client.send_request(1, 0x22);
+  EnginePeer engine(engine_listeners_[0]);
+  const auto request = engine.next();
+  ASSERT_TRUE(request);
+  EXPECT_EQ(request->id, 0x22U);
+  EXPECT_TRUE(comes_true([&] { return server.dropped_bytes() == RawClient::request_line(1, 0x21).size(); }));
+  EXPECT_TRUE(client.wire().is_shut_down_by_peer());
+  EXPECT_FALSE(client.wire().was_reset());
+
+  engine.answer(0, 0x22, "parts=1", "a\tb\tc\n");
+  EXPECT_EQ(regular_client.outcome(), "served:a\tb\tc\n");
+  EXPECT_EQ(server.counts().sessions, 0U);
+}
+
+TEST_F(ClientCloseTest, AClientThatNeverClosesIsClosedByTheServer) {
+  RunningServer server(config());
+  RawClient client(server.port());
+  client.wire().write("noise\n");
+  EXPECT_TRUE(client.wire().is_shut_down_by_peer());
+  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+}
+
+TEST_F(ClientCloseTest, AClientThatKeepsWritingAfterItsRejectionIsClosed) {
+  RunningServer server(config());
+  RawClient client(server.port());
+
+  client.wire().write("noise\n");
+  const std::string more(64 * 1024, 'x');
+  std::size_t written = 0;
+  while (written < 256 * more.size() && client.wire().write(more)) written += more.size();
+  EXPECT_LT(written, 256 * more.size());
+  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+}
+
+// Each read ends inside a message, for longer than one message may take; each message itself is completed
+// soon.
+TEST_F(ClientCloseTest, AClientWhoseReadsAllEndInsideAMessageIsServed) {
+  RunningServer server(config());
+  RawClient client(server.port());
+  EnginePeer engine;
+  std::string remaining = RawClient::request_line(1, 0x301);
+
+  client.wire().write(remaining.substr(0, 10));
+  remaining.erase(0, 10);
+  const int messages = 9;  // of 0.8 s each
+  for (int id = 1; id <= messages; ++id) {
+    std::this_thread::sleep_for(800ms);
+    const std::string next = RawClient::request_line(id + 1, 0x301U + static_cast<unsigned>(id));
+    ASSERT_TRUE(client.wire().write(remaining + next.substr(0, 10))) << id;
+    remaining = next.substr(10);
+    if (!engine.is_open()) engine = EnginePeer(engine_listeners_[0]);
+    const auto request = engine.next();
+    ASSERT_TRUE(request) << id;
+    engine.answer(0, request->id, "parts=1", "a\tb\tc\n");
+    EXPECT_EQ(client.outcome(), "served:a\tb\tc\n") << id;
+  }
+}
+
+// A slow writer sends a byte now and then; silence and the duration of a message are limited.
+TEST_F(ClientCloseTest, ASlowWriterIsServed) {
+  RunningServer server(config());
+  RawClient client(server.port());
+  const std::string line = RawClient::request_line(1, 0x31);
+  const std::size_t part = line.size() / 7;
+
+  for (std::size_t at = 0; at < line.size(); at += part) {
+    if (at > 0) std::this_thread::sleep_for(500ms);
+    ASSERT_TRUE(client.wire().write(std::string_view(line).substr(at, part)));
+  }
+  EnginePeer engine(engine_listeners_[0]);
+  ASSERT_TRUE(engine.next());
+
+  engine.answer(0, 0x31, "parts=1", "a\tb\tc\n");
+  EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
+}
+
+// The engine holds its connection back; the client leaves meanwhile, each way that there is. The one whose
+// request stands first is given up as well as the one that waits behind it.
+TEST_F(ClientCloseTest, NothingIsSentForAClientThatDisconnectedDuringConnect) {
+  PlatformConfig settings = config();
+  settings.core.connect_timeout = 20s;
+  FullListener full_listener;  // no connection is established until the test accepts one
+  settings.known[0].records[0].port = full_listener.port();
+  RunningServer server(std::move(settings));
+  RawClient cancelling_client(server.port()), closing_client(server.port()), resetting_client(server.port()),
+      waiting_client(server.port());
+
+  cancelling_client.send_request(1, 0x41);
+  closing_client.send_request(1, 0x42);
+  resetting_client.send_request(1, 0x43);
+  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 3; }));
+
+  cancelling_client.wire().write(cancel_line(0x41));
+  closing_client.wire().close();
+  resetting_client.wire().reset();
+  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 0; }));
+
+  waiting_client.send_request(1, 0x44);
+  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 1; }));
+
+  full_listener.accept_all();
+  std::vector<EnginePeer> sides;
+  EXPECT_TRUE(comes_true([&] {
+    if (EnginePeer side(full_listener, 1); side.is_open()) sides.push_back(std::move(side));
+    for (EnginePeer& side : sides) {
+      const auto request = side.next(1);
+      if (!request) continue;
+      EXPECT_EQ(request->id, 0x44U);
+      side.answer(0, request->id, "parts=1", "a\tb\tc\n");
+      return true;
+    }
+    return false;
+  }));
+  EXPECT_EQ(waiting_client.outcome(), "served:a\tb\tc\n");
+}
+
+// Its request and its close are both there when the loop reads: no attempt is started for it.
+TEST_F(ClientCloseTest, NothingIsSentForAClientThatDisconnectedRightAfterItsRequest) {
+  RunningServer server(config());
+  const std::uint16_t port = server.port();
+  RawClient closed_client(port), reset(port), regular_client(port);
+
+  for (RawClient* one : {&closed_client, &reset})
+    one->wire().write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n");
+  EXPECT_EQ(closed_client.outcome(), "done");
+  EXPECT_EQ(reset.outcome(), "done");
+
+  server.run([&](PlatformServer&) {
+    closed_client.send_request(2, 0x46);
+    closed_client.wire().close();
+    reset.send_request(2, 0x47);
+    reset.wire().reset();
+    return 0;
+  });
+  regular_client.send_request(1, 0x48);
+  EnginePeer engine(engine_listeners_[0]);
+  const auto request = engine.next();
+  ASSERT_TRUE(request);
+  EXPECT_EQ(request->id, 0x48U);
+  EXPECT_EQ(server.counts().sessions, 1U);
+  EXPECT_FALSE(EnginePeer(engine_listeners_[0], 0).is_open());
+}
+
+// Its answers stand unread; it takes back another request then. A client that is not read for its backlog
+// would not be heard, and its request would go on.
+TEST_F(ClientCloseTest, ACancellationIsReadBehindUnreadAnswers) {
+  RunningServer server(config());
+  RawClient client(server.port());
+  std::string page;
+
+  while (page.size() < 5900) page += "0123456789\t0123456789\t0123456789\n";
+  client.send_request(1, 0x51);
+  EnginePeer held_engine(engine_listeners_[0]);
+  ASSERT_TRUE(held_engine.next());
+
+  // Each 64 KB as a line; what is beyond the sockets' own buffers stands at the manager.
+  int id = 1;
+  std::vector<EnginePeer> sides;
+  while (server.unread_bytes() < 600 * 1024 && id < 200) {
+    ++id;
+    client.send_request(id, 0x51U + static_cast<unsigned>(id));
+    std::optional<engine_frames::Frame> request;
+    EnginePeer* at = nullptr;
+    EXPECT_TRUE(comes_true([&] {
+      if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) sides.push_back(std::move(side));
+      for (EnginePeer& side : sides) {
+        request = side.next(1);
+        at = &side;
+        if (request && request->code == 1) return true;
+      }
+      return false;
+    }));
+    ASSERT_TRUE(request);
+    at->answer(0, request->id, "parts=8", page);
+    for (int number = 1; number < 8; ++number)
+      at->answer(9, request->id, "part_no=" + std::to_string(number), page);
+    EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 1; }));
+  }
+  client.wire().write(cancel_line(0x51));
+  const auto given_up = held_engine.next();
+  ASSERT_TRUE(given_up);
+  EXPECT_EQ(given_up->code, 2);
+  EXPECT_EQ(given_up->id, 0x51U);
+}
+
+// An answer, a cancellation, an invalid message and the client's close, all in one turn of the loop and in
+// every order: the server continues, holds nothing, and the next client is served.
+TEST_F(ClientCloseTest, EventsOfOneTurnMayArriveInAnyOrder) {
+  RunningServer server(config());
+  const std::uint16_t port = server.port();
+  std::vector<int> order{0, 1, 2, 3};
+  std::uint64_t trace = 0x1000;
+
+  do {
+    RawClient client(port);
+    client.send_request(1, ++trace);
+    EnginePeer engine;
+    std::optional<engine_frames::Frame> request;
+    ASSERT_TRUE(comes_true([&] {
+      if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) idle_engines_.push_back(std::move(side));
+      for (EnginePeer& side : idle_engines_) {
+        while (auto next = side.next(1))
+          if (next->code == 1 && next->id == trace) {
+            request = std::move(next);
+            engine = std::move(side);
+            return true;
+          }
+      }
+      return false;
+    }));
+    std::erase_if(idle_engines_, [](const EnginePeer& side) { return !side.is_open(); });
+    server.run([&](PlatformServer&) {
+      for (const int what : order) {
+        if (what == 0) engine.answer(0, trace, "parts=1", "a\tb\tc\n");
+        if (what == 1) client.wire().write(cancel_line(trace));
+        if (what == 2) client.wire().write("noise\n");
+        if (what == 3) client.wire().shut_down();
+      }
+      return 0;
+    });
+    EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+    EXPECT_EQ(server.counts().sessions, 0U);
+    EXPECT_EQ(server.counts().attempts_out, 0U);
+    idle_engines_.push_back(std::move(engine));
+  } while (std::next_permutation(order.begin(), order.end()));
+}
+
+// Silent clients fill the descriptors while the command channel is down. When it is back it is found, engines
+// are reached, and no more descriptors are held than allowed.
+TEST_F(ClientCloseTest, IdleClientsDoNotExhaustDescriptorsForTheCommandChannelAndEngines) {
+  PlatformConfig settings = config();
+  settings.limits.descriptors = 128;
+  std::optional<Listener> closed_listener(std::in_place);
+  settings.discovery_endpoint.port = closed_listener->port();
+  closed_listener.reset();  // its port is nobody's
+  const std::string path = ::testing::TempDir() + "paddlestand-crowd-" + std::to_string(::getpid()) + ".json";
+  RunningServer server(std::move(settings), path);
+  std::vector<RawClient> silent_clients;
+
+  for (int i = 0; i < 300; ++i) silent_clients.emplace_back(server.port());
+  EXPECT_TRUE(comes_true([&] { return server.clients() >= 52; }));
+
+  std::ofstream(path) << config_text(discovery_listener_.port());
+  server.reload();
+  DiscoveryPeer discovery_peer(discovery_listener_);
+  EXPECT_EQ(discovery_peer.requested_after, 1U);
+
+  discovery_peer.send_event(2, {engine_record(9, engine_listeners_[0].port())});
+  EXPECT_TRUE(comes_true([&] { return server.last_event() == 2; }));
+
+  RawClient regular_client(server.port());
+  regular_client.send_request(1, 0xa1);
+  EnginePeer engine(engine_listeners_[0]);
+  ASSERT_TRUE(engine.next());
+  EXPECT_LE(server.run([](PlatformServer& p) { return p.clients() + p.engine_connections(); }), 128U - 24U);
+
+  engine.answer(0, 0xa1, "parts=1", "a\tb\tc\n");
+  EXPECT_EQ(regular_client.outcome(), "served:a\tb\tc\n");
+
+  ::unlink(path.c_str());
+}
+
+}  // namespace
+}  // namespace paddlestand::platform::test
--- a/tests/platform/manager_process.hpp
+++ b/tests/platform/manager_process.hpp
@@ -1,4 +1,4 @@
-// A manager as a process of its own, for tests that must not share a loop or a clock with it.
+/// A manager as a process of its own, for tests that must not share an event loop or a clock with it.
 #pragma once
 
 #include <signal.h>
@@ -20,7 +20,7 @@
 
 /// The settings of one manager before some engines: three classes that differ in what a repeat may do.
 inline std::string process_config(const std::vector<std::uint16_t>& engines, std::uint16_t listen,
-                                  std::uint16_t discovery_server, std::uint32_t most_descriptors = 256,
+                                  std::uint16_t discovery_server, std::uint32_t max_descriptors = 256,
                                   std::uint32_t streams_per_connection = 8) {
   const auto class_named = [](const char* name, const char* repeat, const char* more) {
     return std::string("{\"name\":\"") + name +
@@ -39,7 +39,7 @@
   }
   return R"({"name":"n0","listen":"127.0.0.1:)" + std::to_string(listen) +
          R"(","seed":"10000041","limits":{"cores":1.0,"memory_mb":64,"sockets":)" +
-         std::to_string(most_descriptors) + R"(},"channel":"127.0.0.1:)" + std::to_string(discovery_server) +
+         std::to_string(max_descriptors) + R"(},"channel":"127.0.0.1:)" + std::to_string(discovery_server) +
          R"(","known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"generation":1,"reset":true,"instances":[)" +
          instances +
          R"(]}}]},"settings":{"balancers":1,"position":0,"az":0,"areas":["here"],"flavors":["std"],)"
@@ -57,7 +57,7 @@
 }
 
 /// Starts `paddlestand platform` and waits until it answers that it is ready; kills it at its end. Its log
-/// is on standard error and kept.
+/// is on standard error and recorded.
 class ManagerProcess {
  public:
   /// `call_faults`: rules of tests/faults/call_faults.cpp, for its system calls; none where empty.
@@ -91,15 +91,15 @@
 
   [[nodiscard]] bool ready() const { return ready_; }
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  /// It takes no step until go_on().
+  /// The process does not run until resume().
   void stop() { ::kill(process_.id(), SIGSTOP); }
-  void go_on() { ::kill(process_.id(), SIGCONT); }
+  void resume() { ::kill(process_.id(), SIGCONT); }
   [[nodiscard]] std::string log() const {
     std::ifstream in(folder_ / "log");
     return {std::istreambuf_iterator<char>(in), {}};
   }
   /// How many lines of the log have this event.
-  [[nodiscard]] std::size_t logged(const std::string& event) const {
+  [[nodiscard]] std::size_t count_logged(const std::string& event) const {
     const std::string all = log(), wanted = "\"event\":\"" + event + "\"";
     std::size_t count = 0;
     for (auto at = all.find(wanted); at != std::string::npos; at = all.find(wanted, at + 1)) ++count;
--- /dev/null
+++ b/tests/platform/sockets.hpp
@@ -0,0 +1,166 @@
+/// Sockets of the peers that tests drive, over loopback.
+#pragma once
+
+#include <arpa/inet.h>
+#include <fcntl.h>
+#include <gtest/gtest.h>
+#include <netinet/in.h>
+#include <poll.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "tests/hosted.hpp"
+
+namespace paddlestand::platform::test {
+
+using namespace paddlestand::test;
+
+/// One connection of a peer, driven byte by byte. Owns its socket.
+class Wire {
+ public:
+  explicit Wire(int socket = -1) : socket_(socket) {}
+  Wire(Wire&& other) noexcept : socket_(std::exchange(other.socket_, -1)) {}
+  Wire& operator=(Wire&& other) noexcept {
+    close();
+    socket_ = std::exchange(other.socket_, -1);
+    return *this;
+  }
+  ~Wire() { close(); }
+
+  static Wire connect(std::uint16_t port) {
+    Wire wire(::socket(AF_INET, SOCK_STREAM, 0));
+    sockaddr_in at{};
+    at.sin_family = AF_INET;
+    at.sin_port = htons(port);
+    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    EXPECT_EQ(::connect(wire.socket_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+    return wire;
+  }
+
+  [[nodiscard]] bool is_open() const { return socket_ >= 0; }
+  void close() {
+    if (socket_ >= 0) ::close(socket_);
+    socket_ = -1;
+  }
+  /// Ends the connection by a reset.
+  void reset() {
+    const linger now{1, 0};
+    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    close();
+  }
+  /// False where the server has closed it meanwhile.
+  bool write(std::string_view bytes) const {
+    while (!bytes.empty()) {
+      const ssize_t sent = ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+      if (sent <= 0) return false;
+      bytes.remove_prefix(static_cast<std::size_t>(sent));
+    }
+    return true;
+  }
+  /// The bytes that are here, or arrive in time (empty: none did); nothing at the end of the connection.
+  std::optional<std::string> read(int wait_ms = client_timeout_ms) const {
+    pollfd one{socket_, POLLIN, 0};
+    if (::poll(&one, 1, wait_ms) <= 0) return std::string{};
+    char part[65536];
+    const ssize_t got = ::recv(socket_, part, sizeof(part), 0);
+    if (got < 0) errno_ = errno;
+    if (got <= 0) return std::nullopt;
+    return std::string(part, static_cast<std::size_t>(got));
+  }
+  [[nodiscard]] bool has_input() const {
+    pollfd one{socket_, POLLIN, 0};
+    return ::poll(&one, 1, 0) > 0;
+  }
+  /// Waits until the server ends the connection; false where it does not in time.
+  bool is_closed_by_peer() const {
+    for (;;) {
+      const auto more = read();
+      if (!more) return true;
+      if (more->empty()) return false;
+    }
+  }
+  /// Whether the server ends it by a shutdown: a reset might take the last answer with it.
+  bool is_shut_down_by_peer() const {
+    const bool ended = is_closed_by_peer();
+    char none{};
+    return ended && ::recv(socket_, &none, 1, 0) == 0 && errno_ == 0;
+  }
+  [[nodiscard]] bool was_reset() const { return errno_ == ECONNRESET; }
+  void shut_down() const { ::shutdown(socket_, SHUT_WR); }
+
+ private:
+  int socket_;
+  mutable int errno_ = 0;
+};
+
+/// Where a server connects to a peer.
+class Listener {
+ public:
+  /// `receive_buffer`: bytes of each accepted connection; zero: the system's choice.
+  explicit Listener(int backlog = 64, int receive_buffer = 0) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
+    if (receive_buffer > 0)
+      ::setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof(receive_buffer));
+    sockaddr_in at{};
+    at.sin_family = AF_INET;
+    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof(at);
+    EXPECT_EQ(::bind(socket_, reinterpret_cast<sockaddr*>(&at), size), 0);
+    EXPECT_EQ(::listen(socket_, backlog), 0);
+    EXPECT_EQ(::getsockname(socket_, reinterpret_cast<sockaddr*>(&at), &size), 0);
+    port_ = ntohs(at.sin_port);
+  }
+  ~Listener() { ::close(socket_); }
+  Listener(const Listener&) = delete;
+  Listener& operator=(const Listener&) = delete;
+
+  [[nodiscard]] std::uint16_t port() const { return port_; }
+  /// The next connection, waited for; not open where none arrives.
+  Wire accept(int wait_ms = client_timeout_ms) const {
+    pollfd one{socket_, POLLIN, 0};
+    if (::poll(&one, 1, wait_ms) <= 0) return Wire{};
+    return Wire{::accept(socket_, nullptr, nullptr)};
+  }
+
+ private:
+  int socket_;
+  std::uint16_t port_ = 0;
+};
+
+/// A listener whose queue is full: no connection to it is established until accept_all().
+class FullListener : public Listener {
+ public:
+  FullListener() : Listener(0) {
+    for (;;) {
+      const int one = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+      sockaddr_in at{};
+      at.sin_family = AF_INET;
+      at.sin_port = htons(port());
+      at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+      ::connect(one, reinterpret_cast<sockaddr*>(&at), sizeof(at));
+      pollfd up{one, POLLOUT, 0};
+      if (::poll(&up, 1, 300) <= 0) {
+        ::close(one);
+        return;
+      }
+      fillers_.emplace_back(one);
+    }
+  }
+  void accept_all() {
+    for (Wire& filler : fillers_) {
+      accept();
+      filler.close();
+    }
+    fillers_.clear();
+  }
+
+ private:
+  std::vector<Wire> fillers_;
+};
+
+}  // namespace paddlestand::platform::test
