--- a/src/platform/config_reloader.hpp
+++ b/src/platform/config_reloader.hpp
@@ -10,8 +10,8 @@
 
 namespace paddlestand::platform {
 
-/// Reads the file when asked to; where it can't be read, again after a pause, until it can. Owns the timer of
-/// that pause.
+/// Reads the file at each reload(); where that fails, again after a pause, until it succeeds. Owns the timer
+/// of the pause.
 class ConfigReloader {
  public:
   using OnConfig = std::function<void(const PlatformConfig&)>;
--- a/src/platform/engine_connection.cpp
+++ b/src/platform/engine_connection.cpp
@@ -45,8 +45,8 @@
   listener_.on_lost(shared_from_this(), reason, description);
 }
 
-// Finds a close that was not read yet: a request written now would be reset, and nobody could say that it
-// never ran.
+// Finds a close that was not read yet: a request written now would be reset, and whether it
+// ran could not be known.
 bool EngineConnection::is_closed_by_engine() {
   if (is_closed_ || !is_connected_) return is_closed_;
   char next{};
--- a/src/platform/engine_connection.hpp
+++ b/src/platform/engine_connection.hpp
@@ -26,7 +26,7 @@
 
 class PlatformHost;
 
-/// Where a connection leads, and how it is told apart from others.
+/// The engine and address of a connection, and its number for the log.
 struct EngineConnectionTarget {
   EngineId engine{};
   boost::asio::ip::tcp::endpoint address;
@@ -84,7 +84,7 @@
   FrameQueue::WithdrawResult withdraw(core::ChannelId channel) { return queue_.withdraw(channel); }
   /// Ends a stream: what arrives for it is dropped, and commands about it that wait are not sent.
   void end_stream(core::StreamId stream);
-  /// Whether the cancel of a stream has left this machine, or the connection is closed.
+  /// Whether the cancel of a stream was transmitted by this machine, or the connection is closed.
   [[nodiscard]] bool is_cancel_transmitted(core::StreamId stream);
 
  private:
--- a/src/platform/engine_connection_listener.hpp
+++ b/src/platform/engine_connection_listener.hpp
@@ -1,4 +1,4 @@
-/// What a connection to an engine reports, and whom it asks.
+/// The events of a connection to an engine, and the frames it requests from its owner.
 #pragma once
 
 #include <boost/system/error_code.hpp>
--- a/src/platform/engine_dispatch.cpp
+++ b/src/platform/engine_dispatch.cpp
@@ -1,7 +1,5 @@
 #include "engine_dispatch.hpp"
 
-#include <algorithm>
-
 #include "client.hpp"
 #include "endpoint.hpp"
 #include "hex.hpp"
@@ -43,8 +41,8 @@
   return requests_.trace_of(action.query);
 }
 
-// Skips connections that the engine has closed: a request written into one would be reset, and nobody could
-// say that it never ran.
+// Skips connections that the engine has closed: a request written into one would be reset, and whether it ran
+// could not be known.
 EngineDispatch::Connection EngineDispatch::connection_for(EngineId engine, core::ChannelUse use,
                                                           core::StreamId stream) {
   const auto address = endpoints_.address(engine);
--- a/src/platform/platform_host.hpp
+++ b/src/platform/platform_host.hpp
@@ -21,7 +21,7 @@
   using DispatcherHost::now;
   using DispatcherHost::stop;
 
-  /// Whether the event loop was told to end.
+  /// Whether the event loop was stopped.
   [[nodiscard]] bool is_stopped() const { return stopped_; }
   /// Whether each request, attempt and answer is a line of the log.
   [[nodiscard]] bool is_tracing() const { return tracing_; }
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto stall_threshold = 300ms;  // a sweep so late says that this loop was stalled, and nobody else
+constexpr auto stall_threshold = 300ms;  // a sweep later than this: the event loop itself was stalled
 
 }  // namespace
 
@@ -142,7 +142,7 @@
 void PlatformServer::apply_reloaded(const PlatformConfig& config) {
   for (const discovery::Event& event : config.known) apply(event);
   config_.discovery_endpoint = config.discovery_endpoint;
-  // The new command channel is asked for every event after the last; the old one is closed at once.
+  // Every event after the last is requested from the new command channel; the old one is closed at once.
   discovery_.move_to(endpoint_of(config_.discovery_endpoint));
   log_.info("reload", "command channel " + text_of(config_.discovery_endpoint) + " from event " +
                           std::to_string(endpoints_.last()));
--- a/src/platform/platform_server.hpp
+++ b/src/platform/platform_server.hpp
@@ -39,7 +39,7 @@
   void reload() { reloader_.reload(); }
   /// Begins a graceful shutdown, as SIGTERM does.
   void begin_shutdown() { shutdown_.begin(); }
-  /// Closes the listener once the connections that the system has accepted were taken over.
+  /// Closes the listener once the connections that the system has accepted were handed over.
   void stop_accepting() { listener_.close_when_drained(); }
   /// Closes every connection, once the event loop has ended.
   void close_connections();
--- a/src/platform/request_handler.hpp
+++ b/src/platform/request_handler.hpp
@@ -53,7 +53,7 @@
 
   // ---- For the core ----
 
-  /// Keeps the body of the answer to come; leaves it where the session is unknown.
+  /// Stores the body of the answer to come; does not touch it where the session is unknown.
   void set_result(core::SessionId session, std::string&& result);
   /// Ends a request, and answers its client where that still waits.
   void answer(const core::Answer& action);
--- a/src/platform/request_table.hpp
+++ b/src/platform/request_table.hpp
@@ -14,7 +14,7 @@
 
 class Client;
 
-/// One request of a client: a session of the core, which asks one query.
+/// One request of a client: a session of the core with one query.
 struct ClientRequest {
   std::shared_ptr<Client> client;
   std::int64_t id{};  ///< the client's own number, repeated in the answer
--- a/src/platform/resource_limits.hpp
+++ b/src/platform/resource_limits.hpp
@@ -13,7 +13,7 @@
   std::size_t max_buffered_bytes = 0;  ///< of clients' input and output; as much again of open statements
 };
 
-/// Divides what the platform grants; where it names no limit, a default takes its place.
+/// Divides what the platform grants; a default replaces a limit that it does not name.
 [[nodiscard]] ResourceLimits divide(const Limits& granted);
 
 }  // namespace paddlestand::platform
