--- a/src/platform/engine_connection.cpp
+++ b/src/platform/engine_connection.cpp
@@ -45,8 +45,8 @@
   listener_.on_lost(shared_from_this(), reason, description);
 }
 
-// Finds a close that was not read yet: a request written now would be reset, and nobody could say that it
-// never ran.
+// Finds a close that was not read yet: a request written now would be reset, and whether it
+// ran could not be known.
 bool EngineConnection::is_closed_by_engine() {
   if (is_closed_ || !is_connected_) return is_closed_;
   char next{};
@@ -125,8 +125,7 @@
   }
 }
 
-std::optional<ProtocolError> EngineConnection::process_next(
-    std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken> next) {
+std::optional<ProtocolError> EngineConnection::process_next(NextFrame next) {
   if (const auto* malformed = std::get_if<engine_frames::Broken>(&next))
     return ProtocolError{ProtocolError::Kind::malformed_frame, malformed->what};
   partial_frame_since_.reset();  // it was completed: the time limit of the next one begins anew
--- a/src/platform/engine_connection.hpp
+++ b/src/platform/engine_connection.hpp
@@ -9,7 +9,10 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
+#include <variant>
 
 #include "core/event_dispatcher.hpp"
 #include "core/stream_table.hpp"
@@ -23,7 +26,7 @@
 
 class PlatformHost;
 
-/// Where a connection leads, and how it is told apart from others.
+/// The engine and address of a connection, and its number for the log.
 struct EngineConnectionTarget {
   EngineId engine{};
   boost::asio::ip::tcp::endpoint address;
@@ -81,16 +84,17 @@
   FrameQueue::WithdrawResult withdraw(core::ChannelId channel) { return queue_.withdraw(channel); }
   /// Ends a stream: what arrives for it is dropped, and commands about it that wait are not sent.
   void end_stream(core::StreamId stream);
-  /// Whether the cancel of a stream has left this machine, or the connection is closed.
+  /// Whether the cancel of a stream was transmitted by this machine, or the connection is closed.
   [[nodiscard]] bool is_cancel_transmitted(core::StreamId stream);
 
  private:
+  using NextFrame = std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken>;
+
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<bool> connect();
   service::IoStatus receive_available();
   void process(std::string_view bytes);
-  std::optional<ProtocolError> process_next(
-      std::variant<std::monostate, engine_frames::Frame, engine_frames::Broken> next);
+  std::optional<ProtocolError> process_next(NextFrame next);
   std::optional<ProtocolError> process_frame(engine_frames::Frame frame);
 
   void push_command(FrameQueue::Frame frame);
