--- a/tests/decision/manager_harness.hpp
+++ b/tests/decision/manager_harness.hpp
@@ -1,4 +1,4 @@
-// Drives a WorkloadManager with scripted events and keeps what it did.
+// Drives a WorkloadManager with scripted events and records its actions.
 #pragma once
 
 #include <map>
@@ -12,10 +12,11 @@
 
 using namespace std::chrono_literals;
 
+// Two classes, one kind of engine, one manager.
 inline Settings small_site() {
-  Settings s;
-  s.instances = 1;
-  s.clock_step = 5ms;
+  Settings settings;
+  settings.instances = 1;
+  settings.clock_step = 5ms;
   ClassSettings quick;
   quick.name = "quick";
   quick.latency_objective = 1s;
@@ -30,20 +31,20 @@
   heavy.priority_weight = 6;
   heavy.late_answer_weight = 0.4;
   heavy.threads = 2;
-  s.classes = {quick, heavy};
-  s.kinds = {{8, 16384}};
-  s.answers_report_cost = true;
-  s.max_grant_share = 0.4;
-  s.may_cancel = true;
-  s.may_probe = true;
-  s.max_attempts = 3;
-  s.answer_slack = 20ms;
-  s.drain_grace = 500ms;
-  s.slow_start_capacity_share = 0.3;
-  s.slow_start_duration = 15s;
-  s.overload_multiple = 2.5;
-  s.overload_window = 1500ms;
-  return s;
+  settings.classes = {quick, heavy};
+  settings.kinds = {{8, 16384}};
+  settings.answers_report_cost = true;
+  settings.max_grant_share = 0.4;
+  settings.may_cancel = true;
+  settings.may_probe = true;
+  settings.max_attempts = 3;
+  settings.answer_slack = 20ms;
+  settings.drain_grace = 500ms;
+  settings.slow_start_capacity_share = 0.3;
+  settings.slow_start_duration = 15s;
+  settings.overload_multiple = 2.5;
+  settings.overload_window = 1500ms;
+  return settings;
 }
 
 class ManagerHarness {
@@ -61,7 +62,7 @@
     }
   }
 
-  // Lets time pass, firing timers as they come due.
+  // Moves the clock, firing timers when they are due.
   void advance(Duration by) {
     const TimePoint until = now_ + by;
     while (!timers_.empty() && timers_.begin()->first <= until) {
@@ -77,9 +78,9 @@
     handle(EndpointsChanged{scope, engines});
   }
 
-  void request(RequestId id, std::uint32_t cls = 0, Duration cost = 100ms, std::uint64_t key = 0,
+  void request(RequestId id, std::uint32_t class_index = 0, Duration cost = 100ms, std::uint64_t key = 0,
                Duration client_timeout = 5s) {
-    handle(RequestArrived{id, cls, 0, key, client_timeout, cost, 10, static_cast<double>(id), false});
+    handle(RequestArrived{id, class_index, 0, key, client_timeout, cost, 10, static_cast<double>(id), false});
   }
 
   // Ends the latest attempt of a request.
@@ -107,19 +108,19 @@
 
   template <typename T>
   [[nodiscard]] int count(RequestId id) const {
-    int n = 0;
+    int count = 0;
     for (const auto& [at, action] : log_) {
-      if (const auto* item = std::get_if<T>(&action); item != nullptr && item->request == id) ++n;
+      if (const auto* item = std::get_if<T>(&action); item != nullptr && item->request == id) ++count;
     }
-    return n;
+    return count;
   }
   [[nodiscard]] int sends(RequestId id) const { return count<Send>(id); }
   [[nodiscard]] int sends_to(EngineId engine) const {
-    int n = 0;
+    int count = 0;
     for (const auto& [at, action] : log_) {
-      if (const auto* send = std::get_if<Send>(&action); send != nullptr && send->engine == engine) ++n;
+      if (const auto* send = std::get_if<Send>(&action); send != nullptr && send->engine == engine) ++count;
     }
-    return n;
+    return count;
   }
   [[nodiscard]] bool logged(const std::string& part) const {
     for (const auto& [at, action] : log_) {
--- a/tests/decision/peer_gossip_test.cpp
+++ b/tests/decision/peer_gossip_test.cpp
@@ -1,8 +1,73 @@
-// Gossip between managers, checked on the whole manager by scripted events.
+#include "decision/peer_gossip.hpp"
+
 #include <gtest/gtest.h>
 
-#include "manager_harness.hpp"
+#include "decision_fixture.hpp"
+
+namespace paddlestand::decision {
+namespace {
+
+Settings with_peers() {
+  Settings settings = test::small_site();
+  settings.instances = 3;
+  settings.may_gossip = true;
+  settings.memory_shortage = MemoryShortage::overcommit;
+  return settings;
+}
+
+TEST(PeerGossip, AReportReplacesTheEarlierOneOfItsAuthor) {
+  DecisionFixture fixture(with_peers());
+  const Engine& engine = fixture.add_engine(1);
+  const std::vector<GossipEntry> earlier{{1, 4, 0.25}, {99, 4, 0.25}};
+  const std::vector<GossipEntry> later{{1, 2, 0.125}};
+
+  fixture.gossip.receive({1, earlier});
+  EXPECT_EQ(engine.peer_threads, 4);
+  EXPECT_EQ(engine.peer_memory, 4096);
+
+  fixture.gossip.receive({1, later});
+  EXPECT_EQ(engine.peer_threads, 2);
+  EXPECT_EQ(engine.peer_memory, 2048);
+}
+
+TEST(PeerGossip, ReportsOfASilentPeerExpire) {
+  DecisionFixture fixture(with_peers());
+  const Engine& engine = fixture.add_engine(1);
+  const std::vector<GossipEntry> entries{{1, 4, 0.25}};
+  fixture.gossip.receive({1, entries});
+
+  fixture.state.now = 4.9;
+  fixture.gossip.expire();
+  EXPECT_EQ(engine.peer_threads, 4);
+
+  fixture.state.now = 5;
+  fixture.gossip.expire();
+  EXPECT_EQ(engine.peer_threads, 0);
+}
+
+TEST(PeerGossip, AnnouncedAttemptsAreSentWithTheirShareOfMemory) {
+  DecisionFixture fixture(with_peers());
+  Engine& engine = fixture.add_engine(1);
+  Request& request = fixture.add_request(1);
+  request.estimated_memory = 819.2;  // the grant is a quarter more: a sixteenth of the engine
+  fixture.state.classes[0].is_announced = true;
+  fixture.state.now = 1;
+  fixture.lifecycle.start_attempt(request, engine);
+
+  fixture.gossip.send_if_due();
+
+  const auto messages = fixture.emitted<SendGossip>();
+  ASSERT_EQ(messages.size(), 1U);
+  ASSERT_EQ(messages[0].out.size(), 1U);
+  EXPECT_EQ(messages[0].out[0].engine, 1U);
+  EXPECT_DOUBLE_EQ(messages[0].out[0].memory_share, 0.0625);
+  EXPECT_EQ(fixture.state.unannounced_memory, 0);
+}
+
+}  // namespace
+}  // namespace paddlestand::decision
 
+// Checked on the whole manager.
 namespace paddlestand::test {
 namespace {
 
