--- a/apps/commands.hpp
+++ b/apps/commands.hpp
@@ -8,6 +8,7 @@
 #include <iostream>
 #include <string>
 
+#include "observe/log_events.hpp"
 #include "start.hpp"
 
 namespace paddlestand::app {
@@ -33,7 +34,7 @@
     hosted.io->run();
   } catch (const std::exception& error) {
     // A manager that has lost track of an attempt can keep no promise about it.
-    hosted.host->log().error("assertion", error.what());
+    hosted.host->log().error(observe::LogEvent::assertion_failed, error.what());
     code = exit_failed;
   }
   hosted.host->close_connections();
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -117,12 +117,12 @@
 
 std::size_t Log::lost() const { return pool_ ? pool_->overrun_counter() : 0; }
 
-void Log::write(spdlog::level::level_enum level, std::string_view event, std::string_view text) {
+void Log::write(spdlog::level::level_enum level, LogEvent event, std::string_view text) {
   if (!logger_->should_log(level)) return;
   if (json_) {
-    logger_->log(level, R"("event":"{}","text":{})", event, quoted(text));
+    logger_->log(level, R"("event":"{}","text":{})", name_of(event), quoted(text));
   } else {
-    logger_->log(level, "{}: {}", event, text);
+    logger_->log(level, "{}: {}", name_of(event), text);
   }
 }
 
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -13,6 +13,7 @@
 
 #include "core/types.hpp"
 #include "log_config.hpp"
+#include "log_events.hpp"
 
 namespace paddlestand::observe {
 
@@ -27,11 +28,11 @@
   /// debug, info, warning or error; anything else is info.
   void set_level(std::string_view level);
 
-  /// `event` is a short fixed name, `text` for people.
-  void debug(std::string_view event, std::string_view text) { write(spdlog::level::debug, event, text); }
-  void info(std::string_view event, std::string_view text) { write(spdlog::level::info, event, text); }
-  void warn(std::string_view event, std::string_view text) { write(spdlog::level::warn, event, text); }
-  void error(std::string_view event, std::string_view text) { write(spdlog::level::err, event, text); }
+  /// `event` says what happened, `text` is for people.
+  void debug(LogEvent event, std::string_view text) { write(spdlog::level::debug, event, text); }
+  void info(LogEvent event, std::string_view text) { write(spdlog::level::info, event, text); }
+  void warn(LogEvent event, std::string_view text) { write(spdlog::level::warn, event, text); }
+  void error(LogEvent event, std::string_view text) { write(spdlog::level::err, event, text); }
 
   /// A query's final answer and what became of its attempts, where the settings ask for them.
   void answer(const core::Answer& answer, std::string_view class_name);
@@ -44,7 +45,7 @@
   [[nodiscard]] std::size_t lost() const;
 
  private:
-  void write(spdlog::level::level_enum level, std::string_view event, std::string_view text);
+  void write(spdlog::level::level_enum level, LogEvent event, std::string_view text);
 
   std::string manager_;
   bool json_, answers_;
--- a/src/platform/client_registry.cpp
+++ b/src/platform/client_registry.cpp
@@ -67,8 +67,9 @@
     const std::size_t bytes = (*largest)->buffered_bytes();
     if (bytes == 0) return;
     buffered_bytes -= bytes;
-    host_.log().warn("backlog", "client " + std::to_string((*largest)->number()) + " closed: it holds " +
-                                    std::to_string(bytes) + " bytes");
+    host_.log().warn(observe::LogEvent::backlog_exceeded, "client " + std::to_string((*largest)->number()) +
+                                                              " closed: it holds " + std::to_string(bytes) +
+                                                              " bytes");
     (*largest)->close("holds the most unread bytes");
     clients.erase(largest);
   }
@@ -105,14 +106,16 @@
   ++rejections_;
   if (host_.now() < rejection_logged_at_ + rejection_log_period) return;
   rejection_logged_at_ = host_.now();
-  host_.log().info("turned away", "client " + std::to_string(client.number()) + ": " + problem.text + "; " +
-                                      std::to_string(rejections_) + " so far");
+  host_.log().info(observe::LogEvent::request_rejected, "client " + std::to_string(client.number()) + ": " +
+                                                            problem.text + "; " +
+                                                            std::to_string(rejections_) + " so far");
 }
 
 void ClientRegistry::log_close(const Client& client, std::string_view reason, std::size_t open_requests) {
   if (open_requests == 0 && !host_.is_tracing()) return;
-  host_.log().info("client closed", "client " + std::to_string(client.number()) + ": " + std::string(reason) +
-                                        "; " + std::to_string(open_requests) + " requests open");
+  host_.log().info(observe::LogEvent::client_closed, "client " + std::to_string(client.number()) + ": " +
+                                                         std::string(reason) + "; " +
+                                                         std::to_string(open_requests) + " requests open");
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/engine_answers.cpp
+++ b/src/platform/engine_answers.cpp
@@ -43,7 +43,8 @@
   end.report = load_report_of(answer);
   stream.is_ended = true;
   connection.end_stream(stream.id);
-  if (host_.is_tracing()) host_.log().info("probe", "engine " + std::to_string(stream.engine));
+  if (host_.is_tracing())
+    host_.log().info(observe::LogEvent::health_check, "engine " + std::to_string(stream.engine));
   host_.dispatch(end);
 }
 
@@ -97,10 +98,10 @@
                                         const engine_frames::Answer& answer) {
   ++unmatched_frames_;
   if (!host_.is_tracing()) return;
-  host_.log().info("frame without stream", hex_of(answer.id) + " code " +
-                                               std::to_string(static_cast<int>(answer.code)) + " engine " +
-                                               std::to_string(connection.engine()) + " connection " +
-                                               std::to_string(connection.number()));
+  host_.log().info(observe::LogEvent::frame_unmatched,
+                   hex_of(answer.id) + " code " + std::to_string(static_cast<int>(answer.code)) + " engine " +
+                       std::to_string(connection.engine()) + " connection " +
+                       std::to_string(connection.number()));
 }
 
 // ---- Sweep ----
@@ -157,18 +158,19 @@
 // ---- Log ----
 
 void EngineDispatch::log_sent(const core::SendQuery& action, const EngineStream& stream) {
-  host_.log().info("sent", hex_of(stream.id) + " query " + std::to_string(action.query) + " attempt " +
-                               std::to_string(action.attempt) + " engine " + std::to_string(stream.engine) +
-                               " connection " + std::to_string(stream.connection->number()) + " rank " +
-                               std::to_string(action.priority) + " grant " +
-                               std::to_string(action.memory_mb));
+  host_.log().info(observe::LogEvent::attempt_sent,
+                   hex_of(stream.id) + " query " + std::to_string(action.query) + " attempt " +
+                       std::to_string(action.attempt) + " engine " + std::to_string(stream.engine) +
+                       " connection " + std::to_string(stream.connection->number()) + " rank " +
+                       std::to_string(action.priority) + " grant " + std::to_string(action.memory_mb));
 }
 
 void EngineDispatch::log_attempt_end(const EngineStream& stream, const std::string& how) {
   if (!host_.is_tracing() || stream.is_probe()) return;
-  host_.log().info("attempt ended", hex_of(stream.id) + " query " + std::to_string(stream.query) +
-                                        " engine " + std::to_string(stream.engine) + " connection " +
-                                        std::to_string(stream.connection->number()) + ": " + how);
+  host_.log().info(observe::LogEvent::attempt_ended,
+                   hex_of(stream.id) + " query " + std::to_string(stream.query) + " engine " +
+                       std::to_string(stream.engine) + " connection " +
+                       std::to_string(stream.connection->number()) + ": " + how);
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/engine_dispatch.cpp
+++ b/src/platform/engine_dispatch.cpp
@@ -81,8 +81,9 @@
 void EngineDispatch::on_connect_failure(EngineId engine, const boost::system::error_code& error,
                                         ConnectRetry retry) {
   if (!host_.is_tracing()) return;
-  host_.log().info("connect", "engine " + std::to_string(engine) + ": " + error.message() +
-                                  (retry == ConnectRetry::yes ? "; tried again" : "; given up"));
+  host_.log().info(observe::LogEvent::engine_connect_failed,
+                   "engine " + std::to_string(engine) + ": " + error.message() +
+                       (retry == ConnectRetry::yes ? "; tried again" : "; given up"));
 }
 
 void EngineDispatch::on_lost(const Connection& connection, core::ChannelLossReason reason,
@@ -91,9 +92,9 @@
   for (const auto& [channel, stream] : streams_)
     if (stream.connection == connection) lost.push_back(channel);
   if (reason == core::ChannelLossReason::protocol_error || !lost.empty() || host_.is_tracing()) {
-    host_.log().info("engine connection", "engine " + std::to_string(connection->engine()) + ": " +
-                                              description + "; " + std::to_string(lost.size()) +
-                                              " streams end");
+    host_.log().info(observe::LogEvent::engine_connection_lost,
+                     "engine " + std::to_string(connection->engine()) + ": " + description + "; " +
+                         std::to_string(lost.size()) + " streams end");
   }
   connections_.drop(connection);
   for (const core::ChannelId channel : lost) host_.dispatch(core::ChannelLost{channel, reason});
@@ -148,7 +149,7 @@
 core::WriteResult EngineDispatch::send(const core::SendQuery& action) {
   if (!requests_.may_dispatch(action.query)) {
     if (host_.is_tracing()) {
-      host_.log().info("withheld",
+      host_.log().info(observe::LogEvent::send_suppressed,
                        "query " + std::to_string(action.query) + ": its client is gone, or its time");
     }
     return core::WriteResult::suppressed;
--- a/src/platform/graceful_shutdown.cpp
+++ b/src/platform/graceful_shutdown.cpp
@@ -43,7 +43,8 @@
 void GracefulShutdown::begin() {
   if (lifecycle_.is_shutting_down()) return;
   lifecycle_.advance_to(ServerLifecycle::State::terminating);
-  host_.log().info("leave", "requests are taken for a little longer, then what is held is answered");
+  host_.log().info(observe::LogEvent::shutdown_started,
+                   "requests are taken for a little longer, then what is held is answered");
   const Duration until_kill = grace_period_ - sweep_period;  // the signal may have been seen so late
   const Duration until_answered = until_kill - std::min(answer_margin, until_kill / 4);
   const Duration until_refused = std::min(arrival_period, until_answered);
@@ -68,7 +69,7 @@
 }
 
 void GracefulShutdown::on_requests_finished() {
-  host_.log().info("left", "nothing is held any more");
+  host_.log().info(observe::LogEvent::shutdown_complete, "nothing is held any more");
   lifecycle_.advance_to(ServerLifecycle::State::finished);
 }
 
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -29,7 +29,7 @@
       engines_(*this, requests_, endpoints_, config_, limits_.max_engine_connections),
       listener_(
           io, [this](tcp::socket socket, Duration waited) { clients_.accept(std::move(socket), waited); },
-          [this](const std::string& what) { log_.warn("accept", what); },
+          [this](const std::string& what) { log_.warn(observe::LogEvent::accept_failed, what); },
           [this] { return event_loop_lag(); }),
       discovery_(io, endpoint_of(config_.discovery_endpoint), discovery_hooks()),
       reloader_(*this, std::move(config_path),
@@ -47,10 +47,11 @@
   service::spawn(io_, listener_.run());
   discovery_.start();
   service::spawn(io_, sweep_loop());
-  log_.info("start", "listening on " + text_of(config_.listen) + ", event " +
-                         std::to_string(endpoints_.last()) + ", " + std::to_string(endpoints_.size()) +
-                         " engines, " + std::to_string(limits_.max_clients) + " clients and " +
-                         std::to_string(limits_.max_engine_connections) + " engine connections at most");
+  log_.info(observe::LogEvent::started,
+            "listening on " + text_of(config_.listen) + ", event " + std::to_string(endpoints_.last()) +
+                ", " + std::to_string(endpoints_.size()) + " engines, " +
+                std::to_string(limits_.max_clients) + " clients and " +
+                std::to_string(limits_.max_engine_connections) + " engine connections at most");
 }
 
 Duration PlatformServer::termination_grace_period() const {
@@ -60,9 +61,10 @@
 void PlatformServer::close_connections() {
   stop();
   discovery_.stop();
-  log_.info("totals", std::to_string(engines_.unmatched_frames()) + " frames without stream, " +
-                          std::to_string(engines_.attempt_count()) + " attempts out, " +
-                          std::to_string(violations().total()) + " violations");
+  log_.info(observe::LogEvent::totals, std::to_string(engines_.unmatched_frames()) +
+                                           " frames without stream, " +
+                                           std::to_string(engines_.attempt_count()) + " attempts out, " +
+                                           std::to_string(violations().total()) + " violations");
   clients_.close_all();
 }
 
@@ -114,7 +116,7 @@
   return {[this] { return endpoints_.last(); },
           [this](const discovery::Event& event) { return apply(event) != EndpointList::ApplyResult::gap; },
           [this](const std::string& what) {
-            log_.warn("command channel", text_of(config_.discovery_endpoint) + ": " + what);
+            log_.warn(observe::LogEvent::discovery_failed, text_of(config_.discovery_endpoint) + ": " + what);
           }};
 }
 
@@ -133,9 +135,9 @@
 
 void PlatformServer::log_engines(const discovery::Event& event, const core::EndpointsUpdated& update) {
   for (const EngineEntry& engine : update.engines) {
-    log_.info("engine", std::to_string(engine.engine) + " state " +
-                            std::to_string(static_cast<int>(engine.state)) + " event " +
-                            std::to_string(event.number));
+    log_.info(observe::LogEvent::engine_updated, std::to_string(engine.engine) + " state " +
+                                                     std::to_string(static_cast<int>(engine.state)) +
+                                                     " event " + std::to_string(event.number));
   }
 }
 
@@ -144,8 +146,8 @@
   config_.discovery_endpoint = config.discovery_endpoint;
   // Every event after the last is requested from the new command channel; the old one is closed at once.
   discovery_.move_to(endpoint_of(config_.discovery_endpoint));
-  log_.info("reload", "command channel " + text_of(config_.discovery_endpoint) + " from event " +
-                          std::to_string(endpoints_.last()));
+  log_.info(observe::LogEvent::config_reload, "command channel " + text_of(config_.discovery_endpoint) +
+                                                  " from event " + std::to_string(endpoints_.last()));
 }
 
 }  // namespace paddlestand::platform
--- a/src/service/dispatcher_host.cpp
+++ b/src/service/dispatcher_host.cpp
@@ -44,14 +44,17 @@
 
 void DispatcherHost::count(core::Violation violation, const std::string& what) {
   if (violations_.add(violation))
-    log_.error("violation", std::string(core::name_of(violation)) + ": " + what);
+    log_.error(observe::LogEvent::violation, std::string(core::name_of(violation)) + ": " + what);
 }
 
 void DispatcherHost::on_violation(const core::InvariantViolation& violation) {
-  log_.error("promise", std::string(core::name_of(violation.invariant)) + ": " + violation.what);
+  log_.error(observe::LogEvent::invariant_violated,
+             std::string(core::name_of(violation.invariant)) + ": " + violation.what);
 }
 
-void DispatcherHost::execute(const core::LogMessage& action) { log_.info("judgment", action.text); }
+void DispatcherHost::execute(const core::LogMessage& action) {
+  log_.info(observe::LogEvent::health_changed, action.text);
+}
 
 void DispatcherHost::arm_timer() {
   const auto due = dispatcher_.due();
--- a/src/service/engine_channel.cpp
+++ b/src/service/engine_channel.cpp
@@ -110,11 +110,13 @@
   if (std::holds_alternative<pg::BackendReady>(event)) {
     server_.dispatch(core::ChannelOpened{id_});
   } else if (const auto* refused = std::get_if<pg::BackendRefused>(&event)) {
-    server_.log().info("engine", "link " + std::to_string(id_) + " refused: " + refused->error.code + " " +
-                                     refused->error.message);
+    server_.log().info(observe::LogEvent::engine_channel_failed, "channel " + std::to_string(id_) +
+                                                                     " rejected: " + refused->error.code +
+                                                                     " " + refused->error.message);
     report_loss(core::ChannelLossReason::refused);
   } else if (const auto* broken = std::get_if<pg::BackendBroken>(&event)) {
-    server_.log().warn("engine", "link " + std::to_string(id_) + " closed: " + broken->what);
+    server_.log().warn(observe::LogEvent::engine_channel_failed,
+                       "channel " + std::to_string(id_) + " closed: " + broken->what);
     report_loss(core::ChannelLossReason::protocol_error);
   } else if (std::holds_alternative<pg::BackendAnswerPart>(event)) {
     on_answer_part(new_bytes);
--- a/src/service/engine_list_file.cpp
+++ b/src/service/engine_list_file.cpp
@@ -20,7 +20,8 @@
 }
 
 void EngineListFile::on_missing() {
-  if (!is_missing_) log_.warn("engines", config_.engines_file + ": can't be read; the last list stays");
+  if (!is_missing_)
+    log_.warn(observe::LogEvent::engine_list, config_.engines_file + ": can't be read; the last list stays");
   is_missing_ = true;
 }
 
@@ -37,13 +38,13 @@
   auto read = config::read_engine_list(config_.engines_file, config_);
   if (const auto* fault = std::get_if<config::Fault>(&read)) {
     if (!(*version == last_faulty_))
-      log_.warn("engines", fault->text() + "; the last list stays, it is read again");
+      log_.warn(observe::LogEvent::engine_list, fault->text() + "; the last list stays, it is read again");
     last_faulty_ = *version;
     last_read_ = {};  // the same file may be read well in a moment
     return std::nullopt;
   }
   auto engines = std::get<std::vector<config::ListedEngine>>(std::move(read));
-  log_.info("engines", "list of " + std::to_string(engines.size()) + " engines read");
+  log_.info(observe::LogEvent::engine_list, "list of " + std::to_string(engines.size()) + " engines read");
   return engines;
 }
 
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -40,7 +40,7 @@
       classifier_(config_.classifier, config_.core.module),
       listener_(
           io, [this](tcp::socket socket, Duration) { accept_connection(std::move(socket)); },
-          [this](const std::string& fault) { log_.warn("accept", fault); },
+          [this](const std::string& fault) { log_.warn(observe::LogEvent::accept_failed, fault); },
           [this] { return event_loop_lag(); }),
       closer_(io),
       engine_list_(config_, log_),
@@ -70,7 +70,8 @@
   spawn(io_, sweep_sessions());
   spawn(io_, watch_signals());
   if (!config_.engines_file.empty()) spawn(io_, watch_engine_list());
-  log_.info("start", "listening on " + config_.listen.address + ":" + std::to_string(port()));
+  log_.info(observe::LogEvent::started,
+            "listening on " + config_.listen.address + ":" + std::to_string(port()));
 }
 
 // ---- The core's actions ----
@@ -134,7 +135,7 @@
 }
 
 void PostgresServer::execute(const core::ShutdownComplete&) {
-  log_.info("left", "nothing is held any more");
+  log_.info(observe::LogEvent::shutdown_complete, "nothing is held any more");
   // The last answers are in the sockets' buffers; a client that does not read them is not waited for long.
   run_after(io_, last_answers_time, [this] { stop(); });
 }
@@ -183,7 +184,7 @@
 void PostgresServer::cancel_session(pg::CancelKey key) {
   const auto session = sessions_.find(key);
   if (!session) {
-    log_.info("cancel", "a cancel with a key of no session");
+    log_.info(observe::LogEvent::cancel_unmatched, "a cancel with a key of no session");
     return;
   }
   dispatch(core::ClientCancelled{session->id()});
@@ -212,8 +213,9 @@
     error_code error;
     const auto address = asio::ip::make_address(engine.at.address, error);
     if (error) {
-      log_.error("engines", "engine '" + engine.at.name + "': address '" + engine.at.address +
-                                "'; wanted: an IP address. It is left out");
+      log_.error(observe::LogEvent::engine_list, "engine '" + engine.at.name + "': address '" +
+                                                     engine.at.address +
+                                                     "'; wanted: an IP address. It is left out");
       continue;
     }
     channels_.set_endpoint(engine.entry.engine, {address, engine.at.port});
@@ -236,7 +238,8 @@
 
 void PostgresServer::on_reload_fault(const std::string& fault) {
   if (!reload_retry_.is_retrying())
-    log_.error("reload", fault + "; nothing is changed, it is read again for a while");
+    log_.error(observe::LogEvent::config_reload,
+               fault + "; nothing is changed, it is read again for a while");
   reload_retry_.on_failure();
 }
 
@@ -249,11 +252,12 @@
   reload_retry_.on_success();
   const auto& fresh = std::get<config::ManagerConfig>(read);
   if (const std::string fixed = config::not_reloadable(config_, fresh); !fixed.empty()) {
-    log_.error("reload", "can't be changed while the manager runs: " + fixed + "; nothing is changed");
+    log_.error(observe::LogEvent::config_reload,
+               "can't be changed while the manager runs: " + fixed + "; nothing is changed");
     return;
   }
   adopt_settings(fresh);
-  log_.info("reload", "engines, rules and log level are as in " + config_path_);
+  log_.info(observe::LogEvent::config_reload, "engines, rules and log level are as in " + config_path_);
 }
 
 void PostgresServer::adopt_settings(const config::ManagerConfig& fresh) {
@@ -286,7 +290,7 @@
   if (state_ == State::shutting_down) return;
   state_ = State::shutting_down;
   listener_.close_when_drained();
-  log_.info("leave", "answering what is held");
+  log_.info(observe::LogEvent::shutdown_started, "answering what is held");
   for (const auto& session : sessions_.all()) session->begin_shutdown();
   dispatch(core::BeginShutdown{config_.leave_grace});
   // Attempts that an engine neither ends nor cancels are not waited for beyond this.
--- a/tests/faults/run.cpp
+++ b/tests/faults/run.cpp
@@ -439,10 +439,10 @@
       std::ifstream log(manager.log);
       for (std::string line; std::getline(log, line);)
         // Of lateness it is the machine that speaks; answers in time are judged from outside.
-        if ((line.find("\"event\":\"promise\"") != std::string::npos &&
+        if ((line.find("\"event\":\"invariant_violated\"") != std::string::npos &&
              line.find("in_time") == std::string::npos) ||
             line.find("\"event\":\"violation\"") != std::string::npos ||
-            line.find("\"event\":\"assertion\"") != std::string::npos)
+            line.find("\"event\":\"assertion_failed\"") != std::string::npos)
           lines.push_back("manager's own: " + line);
     }
     return lines;
--- a/tests/incidents/stall_test.cpp
+++ b/tests/incidents/stall_test.cpp
@@ -121,7 +121,7 @@
   sleep_until(1250ms);
   manager().resume();
   expect_correct_deadline(new_client, requested_at);
-  EXPECT_EQ(manager().count_logged("accept"), 1U) << manager().log();
+  EXPECT_EQ(manager().count_logged("accept_failed"), 1U) << manager().log();
 }
 
 class StalledManagerThatCannotRead : public StalledManager {
