--- a/apps/explore.cpp
+++ b/apps/explore.cpp
@@ -1,13 +1,18 @@
-// paddlestand explore: the core that ships, searched for a history that breaks a invariant.
+/// `paddlestand explore`: searches the core that ships for a history that violates an invariant.
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <fstream>
 #include <iomanip>
 #include <iostream>
+#include <memory>
 #include <sstream>
 
 #include "commands.hpp"
 #include "core/seeded_defects.hpp"
 #include "simulation/explorer/history.hpp"
+#include "simulation/explorer/random_walk.hpp"
+#include "simulation/explorer/replay.hpp"
+#include "simulation/explorer/search.hpp"
 
 namespace paddlestand::app {
 namespace {
@@ -15,41 +20,59 @@
 using namespace explorer;
 
 struct Options {
-  std::string scope = "small", only, history, write_to, as_test;
+  std::string scope = "small";
+  std::string only;
+  std::string history;
+  std::string write_to;
+  std::string as_test;
   unsigned threads = 2;
-  std::size_t memory_mb = 4096, states = 0, walk_steps = 0, episode = 4000;
+  std::size_t memory_mb = 4096;
+  std::size_t states = 0;
+  std::size_t walk_steps = 0;
+  std::size_t episode = 4000;
   std::uint64_t seed = 1;
   int time_s = 0;
-  bool properties = false, seeded_defects = false, cases = false;
+  bool properties = false;
+  bool seeded_defects = false;
+  bool cases = false;
 };
 
-int bad(const std::string& text) {
-  std::cerr << "paddlestand: " << text << "\n";
-  return exit_bad_input;
-}
-
-std::string mb(std::size_t bytes) { return std::to_string(bytes >> 20U) + " MB"; }
+std::string megabytes(std::size_t bytes) { return std::to_string(bytes >> 20U) + " MB"; }
 
 void print_progress(const Report& report) {
   std::cout << "  ... " << report.states << " states, " << report.transitions << " transitions, depth "
-            << report.depth << ", " << static_cast<int>(report.seconds) << " s, " << mb(memory_in_use())
-            << std::endl;
+            << report.depth << ", " << static_cast<int>(report.seconds) << " s, "
+            << megabytes(memory_in_use()) << std::endl;
+}
+
+void print_coverage(const CoverageCounts& counts) {
+  for (std::size_t goal = 0; goal < counts.size(); ++goal)
+    std::cout << "  " << std::setw(10) << counts[goal] << "  " << name_of(static_cast<CoverageGoal>(goal))
+              << "\n";
 }
 
-void print_cases(const auto& counts) {
-  for (std::size_t i = 0; i < counts.size(); ++i)
-    std::cout << "  " << std::setw(10) << counts[i] << "  " << name_of(static_cast<Case>(i)) << "\n";
+void print_report(const std::string& scope, const Report& report) {
+  std::cout << scope << ": " << report.states << " states, " << report.transitions << " transitions, depth "
+            << report.depth << ", " << report.settled_states << " states at rest, " << std::fixed
+            << std::setprecision(1) << report.seconds << " s, " << megabytes(report.memory_bytes) << ", ";
+  if (report.is_exhausted) {
+    std::cout << "frontier emptied";
+  } else {
+    std::cout << "frontier of " << report.frontier << " left, stopped by "
+              << (report.found ? std::string("a violation") : report.stopped);
+  }
+  std::cout << std::endl;
 }
 
-// Tells a history, and writes it where that was asked for.
-int tell_found(const Options& options, const std::string& scope, const Found& found) {
+/// Prints a history that violates an invariant, and writes it to a file if that was asked for.
+int report_violation(const Options& options, const std::string& scope, const Found& found) {
   const History history{scope, std::string(core::defect_names[0]), found.history};
   const std::string text = text_of(history, found.violations);
   std::cout << text;
   if (!options.write_to.empty()) {
     std::ofstream file(options.write_to);
     file << text;
-    if (!file.flush()) return bad(options.write_to + ": can't be written");
+    if (!file.flush()) return complain(options.write_to + ": can't be written");
     std::cout << "written to " << options.write_to << "\n";
   }
   if (!options.as_test.empty()) std::cout << test_of(history, options.as_test);
@@ -68,45 +91,40 @@
 
 int run_search(const Options& options) {
   const auto size = size_of(options.scope);
-  if (!size) return bad("--scope " + options.scope + ": wanted: tiny, small, medium or large");
-  bool emptied = true, any = false;
-  std::size_t states = 0, transitions = 0;
-  std::array<std::size_t, static_cast<std::size_t>(Case::count)> cases{};
+  if (!size) return complain("--scope " + options.scope + ": wanted: tiny, small, medium or large");
+  bool has_searched = false;
+  bool is_exhausted = true;
+  std::size_t states = 0;
+  std::size_t transitions = 0;
+  CoverageCounts coverage{};
   for (const Scope& scope : scopes_of(*size)) {
     if (!options.only.empty() && scope.name != options.only) continue;
-    any = true;
+    has_searched = true;
     const Report report = search(scope, limits_of(options), print_progress);
-    std::cout << scope.name << ": " << report.states << " states, " << report.transitions
-              << " transitions, depth " << report.depth << ", " << report.settled << " states at rest, "
-              << std::fixed << std::setprecision(1) << report.seconds << " s, " << mb(report.memory_bytes)
-              << ", "
-              << (report.emptied ? "frontier emptied"
-                                 : "frontier of " + std::to_string(report.frontier) + " left, stopped by " +
-                                       (report.found ? std::string("a violation") : report.stopped))
-              << std::endl;
-    if (report.found) return tell_found(options, scope.name, *report.found);
-    emptied = emptied && report.emptied;
+    print_report(scope.name, report);
+    if (report.found) return report_violation(options, scope.name, *report.found);
+    is_exhausted = is_exhausted && report.is_exhausted;
     states += report.states;
     transitions += report.transitions;
-    for (std::size_t i = 0; i < cases.size(); ++i) cases[i] += report.cases[i];
+    for (std::size_t goal = 0; goal < coverage.size(); ++goal) coverage[goal] += report.coverage[goal];
   }
-  if (!any) return bad("--only " + options.only + ": wanted: the name of a part of this scope");
-  if (options.cases) print_cases(cases);
+  if (!has_searched) return complain("--only " + options.only + ": wanted: the name of a part of this scope");
+  if (options.cases) print_coverage(coverage);
   std::cout << "verdict: no promise broken in " << states << " states and " << transitions << " transitions, "
-            << (emptied ? "all there are in this scope" : "NOT all there are in this scope") << "\n";
+            << (is_exhausted ? "all there are in this scope" : "NOT all there are in this scope") << "\n";
   return exit_well;
 }
 
-int run_walk(const Options& options) {
+int run_random_walk(const Options& options) {
   const Scope scope = walk_scope();
-  const WalkReport report =
-      walk(scope, options.walk_steps, options.episode, options.seed, [](const WalkReport& so_far) {
-        std::cout << "  ... " << so_far.steps << " steps, " << so_far.queries << " queries" << std::endl;
-      });
+  const RandomWalkSettings settings{options.walk_steps, options.episode, options.seed};
+  const RandomWalkReport report = random_walk(scope, settings, [](const RandomWalkReport& so_far) {
+    std::cout << "  ... " << so_far.steps << " steps, " << so_far.queries << " queries" << std::endl;
+  });
   std::cout << report.steps << " steps in " << report.episodes << " episodes, " << report.queries
             << " queries, " << std::fixed << std::setprecision(1) << report.seconds << " s, seed "
             << options.seed << "\n";
-  if (options.cases) print_cases(report.cases);
+  if (options.cases) print_coverage(report.coverage);
   if (!report.found) {
     std::cout << "verdict: no promise broken in " << report.steps << " random steps\n";
     return exit_well;
@@ -114,40 +132,55 @@
   std::cout << "broken after " << report.found->history.size() << " moves; making it shorter" << std::endl;
   Found found = *report.found;
   found.history = shrink(scope, found.history, found.violations.front().invariant);
-  return tell_found(options, scope.name, found);
+  return report_violation(options, scope.name, found);
 }
 
-int run_history(const Options& options) {
-  std::ifstream file(options.history);
-  if (!file) return bad(options.history + ": can't be read");
-  std::ostringstream text;
-  text << file.rdbuf();
-  const auto parsed = parse_history(text.str());
-  if (const auto* problem = std::get_if<std::string>(&parsed)) return bad(options.history + ":" + *problem);
-  const auto& history = std::get<History>(parsed);
-  if (history.defect != "none" && !core::has_seeded_defects)
-    std::cout << "its defect, " << history.defect << ", is not in this build\n";
+/// Switches the seeded defect of that name on, in a build that has them.
+void enable_defect([[maybe_unused]] const std::string& name) {
 #ifdef PADDLESTAND_SEEDED_DEFECTS
-  for (std::size_t i = 0; i < core::defect_names.size(); ++i)
-    if (core::defect_names[i] == history.defect) core::defect_on = static_cast<core::Defect>(i);
+  for (std::size_t i = 0; i < core::defect_names.size(); ++i) {
+    if (core::defect_names[i] == name) core::defect_on = static_cast<core::Defect>(i);
+  }
 #endif
-  const Scope scope = *find_scope(history.scope);
-  Played played = play(scope, history.moves, true);
+}
+
+void print_moves(const Replay& result) {
   int number = 0;
-  for (const std::string& line : played.lines) {
+  for (const std::string& line : result.lines) {
     if (line.starts_with(" ")) {
       std::cout << "     " << line << "\n";
     } else {
       std::cout << std::setw(4) << ++number << "  " << line << "\n";
     }
   }
-  if (played.violations.empty()) played.violations = play_out(scope, history.moves).violations;
-  for (const InvariantViolation& violation : played.violations)
+}
+
+int replay_history(const Options& options, const History& history) {
+  if (history.defect != "none" && !core::has_seeded_defects)
+    std::cout << "its defect, " << history.defect << ", is not in this build\n";
+  enable_defect(history.defect);
+  const Scope scope = *find_scope(history.scope);
+  const Replay result = replay_in_words(scope, history.moves);
+  print_moves(result);
+  const auto violations =
+      result.violations.empty() ? replay_to_end(scope, history.moves).violations : result.violations;
+  for (const InvariantViolation& violation : violations)
     std::cout << "broken: " << core::name_of(violation.invariant) << ": " << violation.what << "\n";
-  std::cout << played.moves.size() << " of " << history.moves.size() << " moves were possible\n";
+  std::cout << result.moves.size() << " of " << history.moves.size() << " moves were possible\n";
   if (!options.as_test.empty()) std::cout << test_of(history, options.as_test);
-  std::cout << "verdict: " << (played.violations.empty() ? "no promise broken" : "BROKEN") << "\n";
-  return played.violations.empty() ? exit_well : exit_failed;
+  std::cout << "verdict: " << (violations.empty() ? "no promise broken" : "BROKEN") << "\n";
+  return violations.empty() ? exit_well : exit_failed;
+}
+
+int run_history(const Options& options) {
+  std::ifstream file(options.history);
+  if (!file) return complain(options.history + ": can't be read");
+  std::ostringstream text;
+  text << file.rdbuf();
+  const auto parsed = parse_history(text.str());
+  if (const auto* error = std::get_if<HistoryError>(&parsed))
+    return complain(options.history + ":" + error->text());
+  return replay_history(options, std::get<History>(parsed));
 }
 
 int print_properties() {
@@ -159,53 +192,74 @@
   return exit_well;
 }
 
-// Each defect, one after the other, through the scopes from small to large until it is found.
-int run_defects([[maybe_unused]] const Options& options) {
 #ifdef PADDLESTAND_SEEDED_DEFECTS
-  std::size_t found = 0, all = 0;
+struct DefectSearch {
+  std::string scope;  // in which it was found
+  std::optional<Found> found;
+  double seconds = 0;
+};
+
+/// Goes through the scopes, from the cheapest on, until the defect that is on is found.
+DefectSearch search_for_defect(const Limits& limits) {
+  DefectSearch result;
+  for (const Scope& scope : defect_scopes()) {
+    Report report = search(scope, limits, {});
+    result.seconds += report.seconds;
+    if (!report.found) continue;
+    result.found = std::move(report.found);
+    result.scope = scope.name;
+    break;
+  }
+  return result;
+}
+
+void print_defect(const Options& options, const std::string& defect, const DefectSearch& search) {
+  std::cout << std::left << std::setw(32) << defect;
+  if (search.found) {
+    const History history{search.scope, defect, search.found->history};
+    std::cout << std::setw(18) << core::name_of(search.found->violations.front().invariant) << std::right
+              << std::setw(3) << history.moves.size() << " moves, '" << search.scope << "'";
+    if (!options.write_to.empty())
+      std::ofstream(options.write_to + "/" + defect + ".history")
+          << text_of(history, search.found->violations);
+    if (!options.as_test.empty()) std::cout << "\n" << test_of(history, defect);
+  } else {
+    std::cout << "NOT FOUND";
+  }
+  std::cout << std::fixed << std::setprecision(1) << ", " << search.seconds << " s" << std::endl;
+}
+
+int run_defects(const Options& options) {
+  std::size_t found = 0;
+  std::size_t searched = 0;
   for (std::size_t i = 1; i < core::defect_names.size(); ++i) {
-    if (!options.only.empty() && core::defect_names[i] != options.only) continue;
-    core::defect_on = static_cast<core::Defect>(i);
-    ++all;
-    std::optional<Found> shown;
-    std::string where;
-    double seconds = 0;
-    for (const Scope& scope : defect_scopes()) {
-      Report report = search(scope, limits_of(options), {});
-      seconds += report.seconds;
-      if (!report.found) continue;
-      shown = std::move(report.found);
-      where = scope.name;
-      break;
-    }
-    found += shown ? 1 : 0;
-    std::cout << std::left << std::setw(32) << core::defect_names[i];
-    if (shown) {
-      std::cout << std::setw(18) << core::name_of(shown->violations.front().invariant) << std::right
-                << std::setw(3) << shown->history.size() << " moves, '" << where << "'";
-      if (!options.write_to.empty()) {
-        const History history{where, std::string(core::defect_names[i]), shown->history};
-        std::ofstream(options.write_to + "/" + history.defect + ".history")
-            << text_of(history, shown->violations);
-      }
-      if (!options.as_test.empty())
-        std::cout << "\n"
-                  << test_of({where, std::string(core::defect_names[i]), shown->history},
-                             std::string(core::defect_names[i]));
-    } else {
-      std::cout << "NOT FOUND";
-    }
-    std::cout << std::fixed << std::setprecision(1) << ", " << seconds << " s" << std::endl;
+    const std::string defect(core::defect_names[i]);
+    if (!options.only.empty() && defect != options.only) continue;
+    enable_defect(defect);
+    const DefectSearch result = search_for_defect(limits_of(options));
+    ++searched;
+    if (result.found) ++found;
+    print_defect(options, defect, result);
   }
   core::defect_on = core::Defect::none;
-  std::cout << "verdict: " << found << " of " << all << " seeded defects found\n";
-  return found == all ? exit_well : exit_failed;
+  std::cout << "verdict: " << found << " of " << searched << " seeded defects found\n";
+  return found == searched ? exit_well : exit_failed;
+}
 #else
+int run_defects(const Options&) {
   std::cerr
       << "paddlestand: this build carries no seeded defects; paddlestand-seeded, which is built with the "
          "tests, does\n";
   return exit_bad_usage;
+}
 #endif
+
+int run(const Options& options) {
+  if (options.properties) return print_properties();
+  if (!options.history.empty()) return run_history(options);
+  if (options.seeded_defects) return run_defects(options);
+  if (options.walk_steps > 0) return run_random_walk(options);
+  return run_search(options);
 }
 
 }  // namespace
@@ -229,17 +283,7 @@
   explorer->add_flag("--properties", options->properties, "Print what is promised, and end");
   explorer->add_flag("--cases", options->cases, "Print how often each hard case occurred");
   explorer->add_flag("--seeded-defects", options->seeded_defects, "Search for each defect of the test build");
-  explorer->callback([options, &result] {
-    if (options->properties) {
-      result = print_properties();
-    } else if (!options->history.empty()) {
-      result = run_history(*options);
-    } else if (options->seeded_defects) {
-      result = run_defects(*options);
-    } else {
-      result = options->walk_steps > 0 ? run_walk(*options) : run_search(*options);
-    }
-  });
+  explorer->callback([options, &result] { result = run(*options); });
 }
 
 }  // namespace paddlestand::app
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -1,6 +1,7 @@
-// Histories: whatever the text, a history that can be played or one problem that names a line.
+/// History files: any text is a history that can be replayed without a violation, or one error with a line.
 #include "simulation/explorer/history.hpp"
 
+#include "simulation/explorer/replay.hpp"
 #include "target.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
@@ -9,7 +10,7 @@
   const auto parsed = explorer::parse_history(std::string(fuzz::text_of(data, size)));
   const auto* history = std::get_if<explorer::History>(&parsed);
   if (history == nullptr || history->scope == "walk") return 0;
-  const auto played = explorer::play(*explorer::find_scope(history->scope), history->moves);
-  if (!played.violations.empty()) fuzz::fail("a history breaks a promise");
+  const auto result = explorer::replay(*explorer::find_scope(history->scope), history->moves);
+  if (!result.violations.empty()) fuzz::fail("a history violates an invariant");
   return 0;
 }
--- /dev/null
+++ b/simulation/explorer/coverage.cpp
@@ -0,0 +1,34 @@
+#include "coverage.hpp"
+
+namespace paddlestand::explorer {
+namespace {
+
+constexpr std::array<std::string_view, coverage_goal_count> goal_names{
+    "a late answer after a resend",
+    "a cancel racing a drain notice",
+    "a drain notice racing the send",
+    "answer, then time-out, in one step",
+    "time-out, then answer, in one step",
+    "client gone between two attempts",
+    "full from every engine",
+    "an engine removed and back within the grace",
+    "a key's rest ending while an attempt is out",
+    "a deadline between resend and connect",
+    "a note for an ended attempt",
+    "shutdown with everything in flight",
+    "an answer at a link being cancelled",
+    "a resend after a reset",
+    "a cancel that comes after the end",
+    "a query of which half was written"};
+
+}  // namespace
+
+void add_coverage(CoverageCounts& counts, const Coverage& coverage) {
+  for (std::size_t goal = 0; goal < counts.size(); ++goal) {
+    if (coverage[goal]) ++counts[goal];
+  }
+}
+
+std::string_view name_of(CoverageGoal goal) { return goal_names[static_cast<std::size_t>(goal)]; }
+
+}  // namespace paddlestand::explorer
--- a/simulation/explorer/digest.hpp
+++ b/simulation/explorer/digest.hpp
@@ -1,5 +1,5 @@
-// Digests a state, so that two that can only go the same way are one: times relative to now, engines under a
-// permutation, channels by what they are instead of by number, tables without order.
+/// Digests a state, so that two states that can only continue in the same way are equal: times relative to
+/// now, engines under a permutation, channels by their properties instead of by number, tables without order.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,26 @@
 
 namespace paddlestand::explorer {
 
+/// Visits a state and hashes what it is told. One object for each digest.
 class Digest final : public StateVisitor {
  public:
-  // `engines`: what each engine is called, by its id; ids beyond keep theirs.
-  explicit Digest(std::span<const std::uint8_t> engines) : engines_(engines) { frames_.push_back({}); }
+  /// `engine_names`: what each engine is called, by its id; ids beyond keep theirs. Must outlive this object.
+  explicit Digest(std::span<const std::uint8_t> engine_names) : engine_names_(engine_names) {
+    frames_.push_back({});
+  }
 
   void clock(double& now) override { now_ = now; }
   void behind(double seconds) override { behind_ = seconds; }
-  // Time that passed since what is walked over was told of it.
-  void lag(double seconds) { lag_ = seconds; }
+  /// Seconds that passed since the visited part last learned the time.
+  void set_lag(double seconds) { lag_ = seconds; }
   void number(double& value) override;
   void whole(std::uint64_t& value) override { put(value); }
   void since(double& time) override;
   void until(double& time) override;
-  // Histories are shorter than the windows: that it is counted is all that matters.
+  // Histories are shorter than the counting windows: only that an event is counted matters, not when.
   void counted(double&) override {}
   void name(Name kind, std::uint64_t& id) override;
-  // Draws only break ties between engines that are alike; docs/design/exploration.md says what that loses.
+  // Random numbers only break ties between equal engines; docs/design/exploration.md says what that loses.
   void generator(std::mt19937_64&) override {}
   std::size_t table(std::size_t entries, bool in_order) override;
   void entry() override;
@@ -37,23 +40,26 @@
 
  private:
   struct Frame {
-    std::size_t start = 0;  // of its present entry
+    std::size_t start = 0;  // of its current entry
     std::uint64_t sum = 0;
-    std::uint64_t defines = 0;  // the channel whose entry this is
-    bool in_order = true, entered = false;
+    std::uint64_t defines = 0;  // the channel that this entry describes, or zero
+    bool in_order = true;
+    bool has_entry = false;
   };
 
   void put(std::uint64_t value) { words_.push_back(value); }
   void close_entry(Frame& frame);
 
-  std::span<const std::uint8_t> engines_;
-  double now_ = 0, behind_ = 0, lag_ = 0;
+  std::span<const std::uint8_t> engine_names_;
+  double now_ = 0;
+  double behind_ = 0;
+  double lag_ = 0;
   std::vector<std::uint64_t> words_;
   std::vector<Frame> frames_;
-  std::unordered_map<std::uint64_t, std::uint64_t> channels_;  // what each is, once known
+  std::unordered_map<std::uint64_t, std::uint64_t> channels_;  // the hash of each, once known
 };
 
-// Counts requests that a module still knows of.
+/// Counts the requests that a module still knows of.
 class RequestCounter final : public StateVisitor {
  public:
   void clock(double&) override {}
--- a/simulation/explorer/history.hpp
+++ b/simulation/explorer/history.hpp
@@ -1,54 +1,40 @@
-// Histories: written to a file, read back, played again, made shorter, turned into a test.
+/// Histories as files: a scope, a seeded defect or none, and the moves in order; and as GoogleTest cases.
 #pragma once
 
+#include <cstddef>
+#include <optional>
 #include <string>
 #include <variant>
 #include <vector>
 
-#include "search.hpp"
+#include "model_state.hpp"
 
 namespace paddlestand::explorer {
 
 struct History {
-  std::string scope;
-  std::string defect = "none";
+  std::string scope;  ///< its name; see find_scope()
+  std::string defect = "none";  ///< the name of a core::Defect
   std::vector<Move> moves;
 };
 
-// The scope of that name, of any size, or the walks'.
-std::optional<Scope> find_scope(const std::string& name);
+/// Where and why a text is no history.
+struct HistoryError {
+  std::size_t line = 0;  ///< counted from 1; 0 where there is none
+  std::string expected;
 
-// As numbered lines that an engineer can follow, which parse_history() reads too.
-std::string text_of(const History& history, const std::vector<InvariantViolation>& violations);
-// A problem as line: what was wanted.
-std::variant<History, std::string> parse_history(const std::string& text);
-// A GoogleTest case that plays it.
-std::string test_of(const History& history, const std::string& name);
-
-struct Played {
-  std::vector<InvariantViolation> violations;  // of the first move that broke something
-  std::vector<Move> moves;  // those made
-  std::vector<std::string> lines;  // in words, where asked for
+  /// As for a user: "LINE: wanted: EXPECTED".
+  [[nodiscard]] std::string text() const;
 };
 
-// Makes the moves that are allowed, passes over the others, and ends at the first violation.
-Played play(const Scope& scope, const std::vector<Move>& moves, bool in_words = false);
-// As above, and then without faults until all has ended or should have.
-Played play_out(const Scope& scope, const std::vector<Move>& moves);
+/// The scope of that name: one of any size, one for defects, or that of the random walks.
+[[nodiscard]] std::optional<Scope> find_scope(const std::string& name);
 
-// What still breaks the same invariant with as few moves as can be found by leaving some out.
-std::vector<Move> shrink(const Scope& scope, std::vector<Move> moves, Invariant invariant);
+/// The history with numbered comments that an engineer can follow. parse_history() reads it back.
+[[nodiscard]] std::string text_of(const History& history, const std::vector<InvariantViolation>& violations);
 
-struct WalkReport {
-  std::size_t steps = 0, episodes = 0, queries = 0;
-  double seconds = 0;
-  std::array<std::size_t, static_cast<std::size_t>(Case::count)> cases{};
-  std::array<std::size_t, static_cast<std::size_t>(Step::count)> acts{};
-  std::optional<Found> found;
-};
+[[nodiscard]] std::variant<History, HistoryError> parse_history(const std::string& text);
 
-// Random moves from a seed, in episodes that each begin anew. The same seed gives the same walk.
-WalkReport walk(const Scope& scope, std::size_t steps, std::size_t episode, std::uint64_t seed,
-                const std::function<void(const WalkReport&)>& progress);
+/// A GoogleTest case of that name which replays the history, for found_histories.inc.
+[[nodiscard]] std::string test_of(const History& history, const std::string& name);
 
 }  // namespace paddlestand::explorer
--- /dev/null
+++ b/simulation/explorer/model_describe.cpp
@@ -0,0 +1,91 @@
+// Moves in words, for histories.
+#include <array>
+#include <sstream>
+#include <string_view>
+
+#include "model_state.hpp"
+
+namespace paddlestand::explorer {
+namespace {
+
+/// What happens in each step, by Step; `{}` stands for the subject. A channel's own name goes before it.
+constexpr std::array<std::string_view, step_count> descriptions{
+    "client {} asks query ",
+    "client {} asks for a cancel",
+    "client {} is gone",
+    "client {} reads no more",
+    "client {} is gone, and nobody has seen it yet",
+    "client {} reads on",
+    "is up",
+    "is refused",
+    "finds no descriptor free",
+    "is lost",
+    "brings what is not the protocol",
+    "the rest of the query is written",
+    "part of an answer",
+    "a large part of an answer",
+    "a large part of an answer, and its end in the same read",
+    "the answer is whole",
+    "the answer is whole, and the engine holds state",
+    "the engine fails",
+    "the engine is full",
+    "a note of progress",
+    "a cancel strikes",
+    "an answer that crossed with its close",
+    "a note that crossed with its close",
+    "engine {} reads nothing",
+    "engine {} reads again",
+    "told that engine {} drains",
+    "told that engine {} is gone",
+    "told that engine {} is back, cold",
+    "told that engine {} has started anew",
+    "told that there is no list",
+    "time passes, to just before something falls due",
+    "time passes, to the moment itself",
+    "the timer comes late",
+    "what is due falls",
+    "the manager is told to leave"};
+
+constexpr std::array<std::string_view, query_class_count> class_names{"safe", "keyed", "unsafe", "in turn",
+                                                                      "bound"};
+
+std::string description_of(const Move& move) {
+  std::string text(descriptions[static_cast<std::size_t>(move.step)]);
+  const auto subject = text.find("{}");
+  if (subject != std::string::npos) text.replace(subject, 2, std::to_string(move.subject));
+  return text;
+}
+
+std::string seconds_text(TimePoint time) {
+  std::ostringstream out;
+  out << "+" << std::fixed;
+  out.precision(6);
+  out << static_cast<double>((time - start_of_time).count()) * 1e-9 << " s";
+  return out.str();
+}
+
+void print_channel(std::ostream& out, const EngineSideChannel& channel) {
+  out << "link " << channel.id << " (engine " << channel.engine;
+  if (channel.carries_query()) out << ", query " << channel.query;
+  if (channel.is_probe) out << ", probe";
+  out << "): ";
+}
+
+}  // namespace
+
+std::string ModelState::describe(const Move& move) const {
+  std::ostringstream out;
+  out << seconds_text(now_) << "  ";
+  if (managers_.size() > 1 && concerns_one_manager(move.step)) out << "manager " << int{move.manager} << ": ";
+  if (const EngineSideChannel* channel = channel_of(move)) print_channel(out, *channel);
+  out << description_of(move);
+  if (move.step == Step::submit_query) {
+    const std::uint32_t nth = managers_[move.manager].clients[move.subject].queries_submitted;
+    const PlannedQuery query = planned_query(move.manager, move.subject, nth);
+    out << query_id(move.subject, nth) << ", " << class_names[static_cast<std::size_t>(query.query_class)];
+    if (query.key != 0) out << ", key " << query.key;
+  }
+  return out.str();
+}
+
+}  // namespace paddlestand::explorer
--- a/simulation/explorer/scope.cpp
+++ b/simulation/explorer/scope.cpp
@@ -8,73 +8,76 @@
 
 using namespace std::chrono_literals;
 
-ClassSettings one_class(std::string name, Idempotency repeat) {
-  ClassSettings k;
-  k.name = std::move(name);
-  k.latency_objective = 500ms;
-  k.deadline = 715ms;
-  k.priority_weight = 1;
-  k.late_answer_weight = 0.5;
-  k.threads = 1;
-  k.repeat = repeat;
-  k.idempotency_scope = IdempotencyScope::zone;
-  k.idempotency_window = 550ms;
-  return k;
+ClassSettings class_settings(std::string name, Idempotency repeat) {
+  ClassSettings settings;
+  settings.name = std::move(name);
+  settings.latency_objective = 500ms;
+  settings.deadline = 715ms;
+  settings.priority_weight = 1;
+  settings.late_answer_weight = 0.5;
+  settings.threads = 1;
+  settings.repeat = repeat;
+  settings.idempotency_scope = IdempotencyScope::zone;
+  settings.idempotency_window = 550ms;
+  return settings;
 }
 
-// All that falls due lies on a grid of the module's ticks: histories that differ by when things happened come
-// together again, and what falls due together does so in one step.
+// Every timer lies on a grid of the module's ticks: histories that differ only in when things happened
+// converge to the same states, and timers that are due together fire in one step.
 core::CoreSettings core_settings() {
-  core::CoreSettings s;
-  s.module.instances = 1;
-  s.module.seed = 1;
-  s.module.clock_step = 5ms;
-  s.module.classes = {
-      one_class("safe", Idempotency::idempotent), one_class("keyed", Idempotency::idempotent_with_key),
-      one_class("unsafe", Idempotency::non_idempotent),
-      one_class("in_turn", Idempotency::idempotent_with_key), one_class("bound", Idempotency::idempotent)};
-  s.module.classes[3].ordered_by_key = true;
-  s.module.classes[4].allowed_zones = std::vector<std::uint32_t>{0};
-  s.module.kinds = {{4, 8192}};
-  s.module.may_cancel = true;
-  s.module.may_probe = true;
-  s.module.may_advise_retry = true;
-  s.module.max_retry_after = 500ms;
-  s.module.max_attempts = 3;
-  s.module.answer_slack = 20ms;
-  s.module.drain_grace = 30ms;  // shorter than a connect may take
-  s.module.ordering_settle_time = 100ms;
-  s.module.slow_start_capacity_share = 0.3;
-  s.module.slow_start_duration = 400ms;
-  s.module.overload_multiple = 4;
-  s.module.overload_window = 300ms;
-  s.module.retry_budget = RetryBudgetSettings{1, 0.5, 2s};
-  s.channels_per_engine = 2;
-  s.idle_channels_per_engine = 1;
-  s.idle_channel_lifetime = 250ms;
-  s.connect_timeout = 50ms;
-  s.probe_timeout = 50ms;
-  s.cancel_grace = 100ms;
-  s.answer_buffer = 1000;
-  s.client_window = 1000;
-  s.buffers_in_total = 4000;
-  return s;
+  core::CoreSettings settings;
+  settings.module.instances = 1;
+  settings.module.seed = 1;
+  settings.module.clock_step = 5ms;
+  settings.module.classes = {class_settings("safe", Idempotency::idempotent),
+                             class_settings("keyed", Idempotency::idempotent_with_key),
+                             class_settings("unsafe", Idempotency::non_idempotent),
+                             class_settings("in_turn", Idempotency::idempotent_with_key),
+                             class_settings("bound", Idempotency::idempotent)};
+  settings.module.classes[3].ordered_by_key = true;
+  settings.module.classes[4].allowed_zones = std::vector<std::uint32_t>{0};
+  settings.module.kinds = {{4, 8192}};
+  settings.module.may_cancel = true;
+  settings.module.may_probe = true;
+  settings.module.may_advise_retry = true;
+  settings.module.max_retry_after = 500ms;
+  settings.module.max_attempts = 3;
+  settings.module.answer_slack = 20ms;
+  settings.module.drain_grace = 30ms;  // shorter than a connect may take
+  settings.module.ordering_settle_time = 100ms;
+  settings.module.slow_start_capacity_share = 0.3;
+  settings.module.slow_start_duration = 400ms;
+  settings.module.overload_multiple = 4;
+  settings.module.overload_window = 300ms;
+  settings.module.retry_budget = RetryBudgetSettings{1, 0.5, 2s};
+  settings.channels_per_engine = 2;
+  settings.idle_channels_per_engine = 1;
+  settings.idle_channel_lifetime = 250ms;
+  settings.connect_timeout = 50ms;
+  settings.probe_timeout = 50ms;
+  settings.cancel_grace = 100ms;
+  settings.answer_buffer = 1000;
+  settings.client_window = 1000;
+  settings.buffers_in_total = 4000;
+  return settings;
 }
 
-Scope scope_of(std::string name, std::vector<Slot> slots, std::uint32_t engines, std::uint32_t faults) {
+Scope scope_of(std::string name, std::vector<PlannedQuery> queries, std::uint32_t engines,
+               std::uint32_t faults) {
   Scope scope;
   scope.name = std::move(name);
-  for (const Slot& slot : slots) scope.clients = std::max(scope.clients, slot.client + 1);
-  scope.slots = std::move(slots);
+  for (const PlannedQuery& query : queries) scope.clients = std::max(scope.clients, query.client + 1);
+  scope.queries = std::move(queries);
   scope.engines = engines;
   scope.faults = faults;
   scope.core = core_settings();
   return scope;
 }
 
-void spread(Scope& scope) {
-  for (const Slot& slot : scope.slots)
-    if (slot.cls == Class::bound) scope.zones = 2;
+/// A class that is bound to a zone needs another zone beside it.
+void assign_zones(Scope& scope) {
+  for (const PlannedQuery& query : scope.queries)
+    if (query.query_class == QueryClass::bound) scope.zones = 2;
 }
 
 }  // namespace
@@ -87,11 +90,12 @@
 }
 
 std::vector<Scope> scopes_of(Size size) {
-  const Slot safe{0, Class::safe, 0}, unsafe{0, Class::unsafe, 0}, turn{0, Class::ordered_by_key, 7};
-  const Slot keyed{0, Class::keyed, 5}, bound{0, Class::bound, 0};
-  const auto at = [](Slot slot, std::uint32_t client) {
-    slot.client = client;
-    return slot;
+  const PlannedQuery safe{0, QueryClass::safe, 0}, unsafe{0, QueryClass::unsafe, 0},
+      turn{0, QueryClass::ordered_by_key, 7};
+  const PlannedQuery keyed{0, QueryClass::keyed, 5}, bound{0, QueryClass::bound, 0};
+  const auto at = [](PlannedQuery query, std::uint32_t client) {
+    query.client = client;
+    return query;
   };
   std::vector<Scope> all;
   switch (size) {
@@ -116,14 +120,15 @@
       all.push_back(scope_of("keyed, unsafe, bound", {keyed, at(unsafe, 1), at(bound, 0)}, 3, 2));
       break;
   }
-  for (Scope& scope : all) spread(scope);
+  for (Scope& scope : all) assign_zones(scope);
   return all;
 }
 
 std::vector<Scope> defect_scopes() {
-  const Slot safe{0, Class::safe, 0}, unsafe{0, Class::unsafe, 0}, bound{0, Class::bound, 0};
-  const Slot turn{0, Class::ordered_by_key, 7}, next_turn{1, Class::ordered_by_key, 7},
-      next{1, Class::safe, 0};
+  const PlannedQuery safe{0, QueryClass::safe, 0}, unsafe{0, QueryClass::unsafe, 0},
+      bound{0, QueryClass::bound, 0};
+  const PlannedQuery turn{0, QueryClass::ordered_by_key, 7}, next_turn{1, QueryClass::ordered_by_key, 7},
+      next{1, QueryClass::safe, 0};
   std::vector<Scope> all{scope_of("defects: one bound", {bound}, 2, 0),
                          scope_of("defects: one unsafe", {unsafe}, 1, 1),
                          scope_of("defects: one safe", {safe}, 2, 1),
@@ -133,11 +138,12 @@
                          scope_of("defects: two faults", {unsafe}, 1, 2),
                          scope_of("defects: two engines", {turn, next_turn}, 2, 1)};
   // Just over half of it a second attempt is decided on, and its channel may take what is left.
-  for (ClassSettings& k : all[3].core.module.classes) k.idempotency_window = std::chrono::milliseconds(540);
+  for (ClassSettings& settings : all[3].core.module.classes)
+    settings.idempotency_window = std::chrono::milliseconds(540);
   all[6].core.module.overload_window =
       std::chrono::milliseconds(200);  // over before a full engine is asked again
   all.push_back(scope_of("defects: a slow reader", {safe}, 1, 1));
-  all.back().big_parts = 3;
+  all.back().max_large_parts = 3;
   all.push_back(scope_of("defects: pipelined", {safe, turn, next_turn}, 1, 1));
   all.back().pipelined = true;
   // A budget that one query can use up.
@@ -146,7 +152,7 @@
   // One that has just started can take one query, not two.
   all.push_back(scope_of("defects: a cold engine", {safe, next}, 1, 1));
   all.back().core.module.slow_start_capacity_share = 0.0079;
-  for (Scope& scope : all) spread(scope);
+  for (Scope& scope : all) assign_zones(scope);
   return all;
 }
 
@@ -156,8 +162,8 @@
   scope.zones = 2;
   scope.managers = 3;
   scope.endless = true;
-  scope.faults = ~0U;
-  scope.big_parts = 2;
+  scope.faults = unlimited_faults;
+  scope.max_large_parts = 2;
   scope.core.module.instances = 3;
   scope.core.module.retry_budget = RetryBudgetSettings{2, 0.2, 2s};
   scope.core.channels_per_engine = 4;
--- a/simulation/explorer/scope.hpp
+++ b/simulation/explorer/scope.hpp
@@ -1,4 +1,5 @@
-// What is explored: who may ask for what, how many engines there are, how much may go wrong in one history.
+/// What is explored: which queries clients submit, how many engines there are, how many faults a history may
+/// hold.
 #pragma once
 
 #include <cstdint>
@@ -11,38 +12,42 @@
 
 namespace paddlestand::explorer {
 
-// Classes of every scope, by index.
-enum class Class : std::uint32_t { safe, keyed, unsafe, ordered_by_key, bound };
+/// The query classes of every scope; the value is the index in the module's settings.
+enum class QueryClass : std::uint32_t { safe, keyed, unsafe, ordered_by_key, bound };
+inline constexpr std::size_t query_class_count = 5;
 
-struct Slot {  // one request
+/// A query that a client will submit.
+struct PlannedQuery {
   std::uint32_t client = 0;
-  Class cls = Class::safe;
-  std::uint64_t key = 0;
+  QueryClass query_class = QueryClass::safe;
+  std::uint64_t key = 0;  ///< of idempotency or ordering; zero: none
 };
 
+inline constexpr std::uint32_t unlimited_faults = ~0U;
+
 struct Scope {
-  std::string name;
-  std::vector<Slot> slots;  // those of one client are asked in turn
+  std::string name;  ///< in history files and on the command line
+  std::vector<PlannedQuery> queries;  ///< those of one client are submitted in this order
   std::uint32_t clients = 1;
   std::uint32_t engines = 2;
-  std::uint32_t zones = 1;  // engines are spread over them in turn
+  std::uint32_t zones = 1;  ///< engines are assigned to them round-robin
   std::uint32_t managers = 1;
-  bool endless = false;  // clients ask on and on, what follows from the number of the request
-  bool pipelined = false;  // a client's next request is taken in the turn of its last answer
-  std::uint32_t faults = 1;  // that a history may hold
-  std::uint32_t big_parts = 1;  // of an answer
+  bool endless = false;  ///< clients never stop; each query is computed from its number
+  bool pipelined = false;  ///< a client's next query arrives while its last answer is written
+  std::uint32_t faults = 1;  ///< that one history may hold
+  std::uint32_t max_large_parts = 1;  ///< of an answer
   core::CoreSettings core;
 };
 
-// The names that the command line takes.
+/// The sizes that the command line accepts by name.
 enum class Size : std::uint8_t { tiny, small, medium, large };
-std::optional<Size> size_of(std::string_view name);
-
-// What is exhausted at this size, one after the other.
-std::vector<Scope> scopes_of(Size size);
-// Those in which each seeded defect is sought, the cheapest first.
-std::vector<Scope> defect_scopes();
-// What random walks go over: 100 clients, 10 engines, 3 managers.
-Scope walk_scope();
+[[nodiscard]] std::optional<Size> size_of(std::string_view name);
+
+/// The scopes that are searched exhaustively at this size, in order.
+[[nodiscard]] std::vector<Scope> scopes_of(Size size);
+/// The scopes in which each seeded defect is searched for, the cheapest first.
+[[nodiscard]] std::vector<Scope> defect_scopes();
+/// The scope of random walks: 100 clients, 10 engines, 3 managers.
+[[nodiscard]] Scope walk_scope();
 
 }  // namespace paddlestand::explorer
--- a/simulation/explorer/search.cpp
+++ b/simulation/explorer/search.cpp
@@ -14,30 +14,30 @@
 using Clock = std::chrono::steady_clock;
 using Index = std::uint32_t;
 
-constexpr Index nobody = ~Index{0};
-constexpr std::size_t batch = 1024;  // states whose successors are made at once, before they are sorted in
+constexpr Index no_node = ~Index{0};
+constexpr std::size_t batch_size = 1024;  // states that are expanded before their successors are merged
 constexpr auto progress_period = std::chrono::seconds(5);
 
+/// A state that was visited, without the state itself.
 struct Node {
-  Index parent = nobody;
-  Move move;
-  // Where calm_move() leads: nobody where all has ended, or where it was not looked at.
-  Index calm = nobody;
-  bool looked_at = false;
+  Index parent = no_node;
+  Move move;  // that led to it from its parent
+  Index fault_free_successor = no_node;  // none where everything has ended, or where it was not expanded
 };
 
-struct Expansion {
+struct Transition {
   Move move;
   std::uint64_t digest = 0;
-  std::unique_ptr<ModelState> world;
+  std::unique_ptr<ModelState> target;  // null where it was visited before
   std::vector<InvariantViolation> violations;
-  Cases cases;
-  bool calm = false;
+  Coverage coverage;
+  bool is_fault_free = false;
 };
-struct Expanded {
-  std::vector<Expansion> steps;
-  std::optional<InvariantViolation> left;
-  bool settled = false;
+
+struct Expansion {
+  std::vector<Transition> transitions;
+  std::optional<InvariantViolation> leak;
+  bool is_settled = false;
 };
 
 class Search {
@@ -46,158 +46,183 @@
       : scope_(std::make_shared<const Scope>(scope)), limits_(limits), progress_(progress) {}
 
   Report run() {
-    auto first = std::make_unique<ModelState>(scope_);
-    known_.emplace(first->digest(), 0);
+    auto initial = std::make_unique<ModelState>(scope_);
+    visited_.emplace(initial->digest(), 0);
     nodes_.push_back({});
-    frontier_.emplace_back(0, std::move(first));
-    while (!frontier_.empty() && go_on()) {
-      ++out_.depth;
-      layer();
+    frontier_.emplace_back(0, std::move(initial));
+    while (!frontier_.empty() && may_continue()) {
+      ++report_.depth;
+      expand_layer();
     }
-    out_.emptied = frontier_.empty() && !out_.found;
-    out_.frontier = frontier_.size();
-    if (!out_.found) ends_everywhere();
-    tell_progress(true);
-    return std::move(out_);
+    report_.is_exhausted = frontier_.empty() && !report_.found;
+    report_.frontier = frontier_.size();
+    if (!report_.found) check_for_cycles();
+    update_totals();
+    return std::move(report_);
   }
 
  private:
-  using Entry = std::pair<Index, std::unique_ptr<ModelState>>;
-
-  bool go_on() {
-    if (out_.found) return false;
-    if (limits_.states > 0 && nodes_.size() >= limits_.states) out_.stopped = "states";
-    if (limits_.time.count() > 0 && Clock::now() - start_ >= limits_.time) out_.stopped = "time";
-    if (memory_in_use() >= limits_.memory_bytes) out_.stopped = "memory";
-    return out_.stopped.empty();
+  using FrontierEntry = std::pair<Index, std::unique_ptr<ModelState>>;
+
+  bool may_continue() {
+    if (report_.found) return false;
+    if (limits_.states > 0 && nodes_.size() >= limits_.states) report_.stopped = "states";
+    if (limits_.time.count() > 0 && Clock::now() - start_ >= limits_.time) report_.stopped = "time";
+    if (memory_in_use() >= limits_.memory_bytes) report_.stopped = "memory";
+    return report_.stopped.empty();
   }
 
-  void layer() {
-    std::vector<Entry> next;
-    for (std::size_t from = 0; from < frontier_.size() && go_on(); from += batch) {
-      const std::size_t to = std::min(from + batch, frontier_.size());
-      std::vector<Expanded> made(to - from);
-      const auto work = [&](unsigned first) {
-        for (std::size_t i = from + first; i < to; i += limits_.threads)
-          made[i - from] = expand(*frontier_[i].second);
-      };
-      std::vector<std::jthread> others;
-      for (unsigned t = 1; t < limits_.threads; ++t) others.emplace_back(work, t);
-      work(0);
-      others.clear();
-      for (std::size_t i = from; i < to; ++i) {
-        take(frontier_[i].first, made[i - from], next);
+  void expand_layer() {
+    std::vector<FrontierEntry> next;
+    for (std::size_t begin = 0; begin < frontier_.size() && may_continue(); begin += batch_size) {
+      const std::size_t end = std::min(begin + batch_size, frontier_.size());
+      std::vector<Expansion> expansions = expand_batch(begin, end);
+      for (std::size_t i = begin; i < end; ++i) {
+        merge(frontier_[i].first, expansions[i - begin], next);
         frontier_[i].second.reset();
-        if (out_.found) return;
+        if (report_.found) return;
       }
-      tell_progress(false);
+      report_progress();
     }
-    if (out_.stopped.empty()) {
+    if (report_.stopped.empty()) {
       frontier_ = std::move(next);
-    } else {
-      std::erase_if(frontier_, [](const Entry& entry) { return entry.second == nullptr; });
-      for (Entry& entry : next) frontier_.push_back(std::move(entry));
+      return;
     }
+    std::erase_if(frontier_, [](const FrontierEntry& entry) { return entry.second == nullptr; });
+    for (FrontierEntry& entry : next) frontier_.push_back(std::move(entry));
   }
 
-  Expanded expand(ModelState& world) {
-    Expanded out;
-    const auto calm = world.calm_move();
-    if (!calm) {
-      out.settled = true;
-      out.left = world.left_over();
-      if (out.left) return out;
+  std::vector<Expansion> expand_batch(std::size_t begin, std::size_t end) {
+    std::vector<Expansion> expansions(end - begin);
+    const auto expand_share = [&](unsigned thread) {
+      for (std::size_t i = begin + thread; i < end; i += limits_.threads)
+        expansions[i - begin] = expand(*frontier_[i].second);
+    };
+    std::vector<std::jthread> threads;
+    for (unsigned thread = 1; thread < limits_.threads; ++thread) threads.emplace_back(expand_share, thread);
+    expand_share(0);
+    threads.clear();
+    return expansions;
+  }
+
+  // Runs on several threads; reads `visited_`, which is written only between batches. `state` is used up.
+  Expansion expand(ModelState& state) const {
+    Expansion expansion;
+    const auto fault_free = state.fault_free_move();
+    if (!fault_free) {
+      expansion.is_settled = true;
+      expansion.leak = state.find_leak();
+      if (expansion.leak) return expansion;
     }
-    const std::vector<Move> moves = world.moves();
+    const std::vector<Move> moves = state.possible_moves();
     for (const Move& move : moves) {
-      Expansion step;
-      step.move = move;
-      step.calm = calm && *calm == move;
-      // Nobody asks for it again after its last move.
-      step.world = &move == &moves.back() ? std::make_unique<ModelState>(std::move(world))
-                                          : std::make_unique<ModelState>(world);
-      step.violations = step.world->make(move);
-      step.cases = step.world->cases();
-      step.digest = step.world->digest();
-      // Another thread's may be the same: that is seen when they are sorted in.
-      if (step.violations.empty() && known_.contains(step.digest)) step.world.reset();
-      out.steps.push_back(std::move(step));
+      const bool is_last = &move == &moves.back();
+      auto target =
+          is_last ? std::make_unique<ModelState>(std::move(state)) : std::make_unique<ModelState>(state);
+      Transition transition = make_transition(move, std::move(target));
+      transition.is_fault_free = fault_free && *fault_free == move;
+      expansion.transitions.push_back(std::move(transition));
     }
-    return out;
+    return expansion;
   }
 
-  void take(Index parent, Expanded& made, std::vector<Entry>& next) {
-    nodes_[parent].looked_at = true;
-    out_.settled += made.settled ? 1 : 0;
-    if (made.left) return find(parent, std::nullopt, {*made.left});
-    for (Expansion& step : made.steps) {
-      ++out_.transitions;
-      ++out_.acts[static_cast<std::size_t>(step.move.act)];
-      for (std::size_t i = 0; i < step.cases.size(); ++i) out_.cases[i] += step.cases[i] ? 1 : 0;
-      if (!step.violations.empty()) return find(parent, step.move, std::move(step.violations));
-      const auto [place, fresh] = known_.emplace(step.digest, static_cast<Index>(nodes_.size()));
-      if (step.calm) nodes_[parent].calm = place->second;
-      if (!fresh) continue;
-      nodes_.push_back({parent, step.move, nobody, false});
-      next.emplace_back(place->second, std::move(step.world));
+  Transition make_transition(const Move& move, std::unique_ptr<ModelState> target) const {
+    Transition transition;
+    transition.move = move;
+    transition.violations = target->apply(move);
+    transition.coverage = target->coverage();
+    transition.digest = target->digest();
+    // Another thread may reach the same state in this batch: merge() sees that.
+    const bool is_known = transition.violations.empty() && visited_.contains(transition.digest);
+    if (!is_known) transition.target = std::move(target);
+    return transition;
+  }
+
+  void merge(Index parent, Expansion& expansion, std::vector<FrontierEntry>& next) {
+    if (expansion.is_settled) ++report_.settled_states;
+    if (expansion.leak) {
+      report_found(parent, std::nullopt, {*expansion.leak});
+      return;
+    }
+    for (Transition& transition : expansion.transitions) {
+      ++report_.transitions;
+      ++report_.steps_by_kind[static_cast<std::size_t>(transition.move.step)];
+      add_coverage(report_.coverage, transition.coverage);
+      if (!transition.violations.empty()) {
+        report_found(parent, transition.move, std::move(transition.violations));
+        return;
+      }
+      const auto [visited, is_new] = visited_.emplace(transition.digest, static_cast<Index>(nodes_.size()));
+      if (transition.is_fault_free) nodes_[parent].fault_free_successor = visited->second;
+      if (!is_new) continue;
+      nodes_.push_back({parent, transition.move, no_node});
+      next.emplace_back(visited->second, std::move(transition.target));
     }
   }
 
-  void find(Index parent, std::optional<Move> last, std::vector<InvariantViolation> violations) {
+  void report_found(Index node, std::optional<Move> last_move, std::vector<InvariantViolation> violations) {
     Found found;
-    for (Index at = parent; at != 0; at = nodes_[at].parent) found.history.push_back(nodes_[at].move);
+    for (Index at = node; at != 0; at = nodes_[at].parent) found.history.push_back(nodes_[at].move);
     std::reverse(found.history.begin(), found.history.end());
-    if (last) found.history.push_back(*last);
+    if (last_move) found.history.push_back(*last_move);
     found.violations = std::move(violations);
-    out_.found = std::move(found);
+    report_.found = std::move(found);
   }
 
-  // Every way on without faults must come to an end, and not in a circle.
-  void ends_everywhere() {
-    enum : std::uint8_t { unseen, under_way, ends };
+  // Every path of fault-free moves must end: none may lead back to a state it came through.
+  void check_for_cycles() {
+    enum : std::uint8_t { unseen, on_path, ends };
     std::vector<std::uint8_t> state(nodes_.size(), unseen);
     std::vector<Index> path;
-    for (Index from = 0; from < nodes_.size(); ++from) {
+    for (Index start = 0; start < nodes_.size(); ++start) {
       path.clear();
-      Index at = from;
-      while (at != nobody && state[at] == unseen) {
-        state[at] = under_way;
+      Index at = start;
+      while (at != no_node && state[at] == unseen) {
+        state[at] = on_path;
         path.push_back(at);
-        at = nodes_[at].calm;
+        at = nodes_[at].fault_free_successor;
       }
-      if (at != nobody && state[at] == under_way)
-        return find(at, std::nullopt, {{Invariant::all_ends, "time goes in a circle, and nothing ends"}});
-      for (const Index one : path) state[one] = ends;
+      if (at != no_node && state[at] == on_path) {
+        report_found(at, std::nullopt, {{Invariant::all_ends, "time goes in a circle, and nothing ends"}});
+        return;
+      }
+      for (const Index node : path) state[node] = ends;
     }
   }
 
-  void tell_progress(bool last) {
-    out_.states = nodes_.size();
-    out_.seconds = std::chrono::duration<double>(Clock::now() - start_).count();
-    rusage use{};
-    getrusage(RUSAGE_SELF, &use);
-    out_.memory_bytes = static_cast<std::size_t>(use.ru_maxrss) * 1024;
-    if (last || !progress_ || Clock::now() < told_ + progress_period) return;
-    told_ = Clock::now();
-    out_.frontier = frontier_.size();
-    progress_(out_);
+  void update_totals() {
+    report_.states = nodes_.size();
+    report_.seconds = std::chrono::duration<double>(Clock::now() - start_).count();
+    rusage usage{};
+    getrusage(RUSAGE_SELF, &usage);
+    report_.memory_bytes = static_cast<std::size_t>(usage.ru_maxrss) * 1024;
+  }
+
+  void report_progress() {
+    update_totals();
+    if (!progress_ || Clock::now() < last_progress_ + progress_period) return;
+    last_progress_ = Clock::now();
+    report_.frontier = frontier_.size();
+    progress_(report_);
   }
 
   std::shared_ptr<const Scope> scope_;
   Limits limits_;
   const Progress& progress_;
-  Clock::time_point start_ = Clock::now(), told_ = start_;
+  Clock::time_point start_ = Clock::now();
+  Clock::time_point last_progress_ = start_;
   std::vector<Node> nodes_;
-  std::unordered_map<std::uint64_t, Index> known_;
-  std::vector<Entry> frontier_;
-  Report out_;
+  std::unordered_map<std::uint64_t, Index> visited_;  // digests to nodes
+  std::vector<FrontierEntry> frontier_;
+  Report report_;
 };
 
 }  // namespace
 
 std::size_t memory_in_use() {
   std::ifstream file("/proc/self/statm");
-  std::size_t pages = 0, resident = 0;
+  std::size_t pages = 0;
+  std::size_t resident = 0;
   file >> pages >> resident;
   return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
--- a/simulation/explorer/search.hpp
+++ b/simulation/explorer/search.hpp
@@ -1,8 +1,9 @@
-// Breadth-first search over a World: every state that its moves lead to, once. The first violation found is
-// one of a shortest history. The same on any number of threads.
+/// Breadth-first search over a ModelState: every state that moves lead to, once. The first violation found is
+/// one with a shortest history. The result does not depend on the number of threads.
 #pragma once
 
 #include <chrono>
+#include <cstddef>
 #include <functional>
 #include <optional>
 #include <string>
@@ -13,9 +14,9 @@
 namespace paddlestand::explorer {
 
 struct Limits {
-  std::size_t states = 0;  // zero: none
-  std::size_t memory_bytes = std::size_t{4} << 30U;  // of the process
-  std::chrono::seconds time{0};  // zero: none
+  std::size_t states = 0;  ///< zero: no limit
+  std::size_t memory_bytes = std::size_t{4} << 30U;  ///< resident, of the process
+  std::chrono::seconds time{0};  ///< zero: no limit
   unsigned threads = 1;
 };
 
@@ -25,21 +26,26 @@
 };
 
 struct Report {
-  std::size_t states = 0, transitions = 0, depth = 0, frontier = 0;
+  std::size_t states = 0;
+  std::size_t transitions = 0;
+  std::size_t depth = 0;
+  std::size_t frontier = 0;  ///< states that are not expanded yet
   double seconds = 0;
-  std::size_t memory_bytes = 0;  // the most of the process, up to the end
-  bool emptied = false;
-  std::string stopped;  // by which limit, where it was not emptied
-  std::size_t settled = 0;  // states in which nothing is held
-  std::array<std::size_t, static_cast<std::size_t>(Case::count)> cases{};  // transitions that show each
-  std::array<std::size_t, static_cast<std::size_t>(Step::count)> acts{};
+  std::size_t memory_bytes = 0;  ///< the peak of the process so far
+  bool is_exhausted = false;  ///< all reachable states were visited
+  std::string stopped;  ///< the limit that ended the search, where it is not exhausted
+  std::size_t settled_states = 0;  ///< those in which nothing is in flight
+  CoverageCounts coverage{};  ///< of transitions
+  StepCounts steps_by_kind{};
   std::optional<Found> found;
 };
 
 using Progress = std::function<void(const Report&)>;
 
-Report search(const Scope& scope, const Limits& limits, const Progress& progress);
+/// `progress` is called every few seconds; it may be empty.
+[[nodiscard]] Report search(const Scope& scope, const Limits& limits, const Progress& progress);
 
-std::size_t memory_in_use();
+/// Resident memory of the process, in bytes.
+[[nodiscard]] std::size_t memory_in_use();
 
 }  // namespace paddlestand::explorer
--- a/tests/explorer/found_test.cpp
+++ b/tests/explorer/found_test.cpp
@@ -1,23 +1,33 @@
-// Histories that the search found, in the code as it shipped or with a seeded defect. Built over the core
-// with defects: each must break its invariant with its defect on, and none with it off.
+/// Histories that the search found, in the code as it shipped or with a seeded defect. Built over the core
+/// with defects: each must violate an invariant with its defect on, and none with it off.
 #include <gtest/gtest.h>
 
+#include <algorithm>
+
 #include "core/seeded_defects.hpp"
 #include "simulation/explorer/history.hpp"
+#include "simulation/explorer/replay.hpp"
 
 namespace paddlestand::explorer {
 namespace {
 
-void keeps(const std::string& scope_name, const std::string& defect, const std::vector<Move>& moves) {
+core::Defect defect_of(const std::string& name) {
+  const auto found = std::find(core::defect_names.begin(), core::defect_names.end(), name);
+  if (found == core::defect_names.end()) return core::Defect::none;
+  return static_cast<core::Defect>(found - core::defect_names.begin());
+}
+
+void expect_violation_only_with_defect(const std::string& scope_name, const std::string& defect,
+                                       const std::vector<Move>& moves) {
   const auto scope = find_scope(scope_name);
   ASSERT_TRUE(scope) << scope_name;
   core::defect_on = core::Defect::none;
-  const Played mended = play_out(*scope, moves);
-  EXPECT_TRUE(mended.violations.empty()) << mended.violations.front().what;
-  for (std::size_t i = 0; i < core::defect_names.size(); ++i)
-    if (core::defect_names[i] == defect) core::defect_on = static_cast<core::Defect>(i);
+  const Replay correct = replay_to_end(*scope, moves);
+  EXPECT_TRUE(correct.violations.empty()) << correct.violations.front().what;
+
+  core::defect_on = defect_of(defect);
   EXPECT_NE(core::defect_on, core::Defect::none) << defect;
-  EXPECT_FALSE(play_out(*scope, moves).violations.empty()) << defect << " is not seen any more";
+  EXPECT_FALSE(replay_to_end(*scope, moves).violations.empty()) << defect << " is not detected any more";
   core::defect_on = core::Defect::none;
 }
 
