--- a/apps/explore.cpp
+++ b/apps/explore.cpp
@@ -46,9 +46,10 @@
 }
 
 void print_coverage(const CoverageCounts& counts) {
-  for (std::size_t goal = 0; goal < counts.size(); ++goal)
+  for (std::size_t goal = 0; goal < counts.size(); ++goal) {
     std::cout << "  " << std::setw(10) << counts[goal] << "  " << name_of(static_cast<CoverageGoal>(goal))
               << "\n";
+  }
 }
 
 void print_report(const std::string& scope, const Report& report) {
@@ -219,9 +220,10 @@
     const History history{search.scope, defect, search.found->history};
     std::cout << std::setw(18) << core::name_of(search.found->violations.front().invariant) << std::right
               << std::setw(3) << history.moves.size() << " moves, '" << search.scope << "'";
-    if (!options.write_to.empty())
+    if (!options.write_to.empty()) {
       std::ofstream(options.write_to + "/" + defect + ".history")
           << text_of(history, search.found->violations);
+    }
     if (!options.as_test.empty()) std::cout << "\n" << test_of(history, defect);
   } else {
     std::cout << "NOT FOUND";
--- a/src/core/classify.cpp
+++ b/src/core/classify.cpp
@@ -83,9 +83,10 @@
     deadlines_.push_back(one.deadline);
   }
   for (const TenantSettings& one : module.tenants) tenants_.push_back(one.name);
-  if (!index_of(classes_, settings_.class_otherwise))
+  if (!index_of(classes_, settings_.class_otherwise)) {
     report("the class of what no rule speaks of, '" + settings_.class_otherwise +
            "', is not among: " + joined(classes_));
+  }
   if (!settings_.tenant_otherwise.empty() && !index_of(tenants_, settings_.tenant_otherwise))
     report("tenant '" + settings_.tenant_otherwise + "' is not among: " + joined(tenants_));
   for (const ClassRule& rule : settings_.rules) add_rule(rule);
@@ -168,9 +169,10 @@
   std::optional<Problem> parse_memory(const std::string& value) {
     const double max = classifier_.settings_.most_memory_mb;
     const auto megabytes = parse_number(value);
-    if (!megabytes || *megabytes < 0 || *megabytes > max)
+    if (!megabytes || *megabytes < 0 || *megabytes > max) {
       return Problem{"memory_mb='" + value + "'; wanted: megabytes from 0 to " +
                      std::to_string(static_cast<long>(max))};
+    }
     query.estimated_memory_mb = *megabytes;
     return std::nullopt;
   }
--- a/src/core/event_dispatcher.cpp
+++ b/src/core/event_dispatcher.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-EventDispatcher::EventDispatcher(CoreSettings settings, bool watch) : coordinator_(settings) {
+EventDispatcher::EventDispatcher(const CoreSettings& settings, bool watch) : coordinator_(settings) {
   if (watch) monitor_.emplace(settings);
 }
 
--- a/src/core/event_dispatcher.hpp
+++ b/src/core/event_dispatcher.hpp
@@ -58,7 +58,7 @@
 class EventDispatcher {
  public:
   /// `watch`: whether events and actions are checked against the invariants (docs/invariants.md).
-  EventDispatcher(CoreSettings settings, bool watch);
+  EventDispatcher(const CoreSettings& settings, bool watch);
 
   /// Processes an event now, or after those that wait.
   void dispatch(CoreEvent event, HostInterface& host);
--- a/src/core/invariant_checks.cpp
+++ b/src/core/invariant_checks.cpp
@@ -61,9 +61,10 @@
 void InvariantMonitor::check_attempts(const SendQuery& action, const Query& query) {
   const std::string text = query_text(action.query);
   if (query.answered) violation(Invariant::nothing_after, text + " is sent after its final answer");
-  if (query.delivered_bytes > 0)
+  if (query.delivered_bytes > 0) {
     violation(Invariant::own_rows,
               text + " is sent again after rows of an earlier attempt went to its client");
+  }
   if (query.has_active_attempt())
     violation(Invariant::one_attempt, text + " is sent while an earlier attempt is out");
   if (query.attempts.size() >= std::max(settings_->module.max_attempts, 1U))
@@ -102,9 +103,10 @@
   const auto settling = key_order_.settling().find(query.key);
   if (settling == key_order_.settling().end()) return;
   const auto& [until, uncertain_query] = settling->second;
-  if (uncertain_query != action.query && now_ < until)
+  if (uncertain_query != action.query && now_ < until) {
     violation(Invariant::order, query_text(action.query) + " is sent while its key rests, since " +
                                     query_text(uncertain_query) + " may still run");
+  }
 }
 
 void InvariantMonitor::check_retry_budget(const SendQuery& action, const Query& query) {
@@ -115,9 +117,10 @@
   retry_window_.add_retry(now_);
   const std::size_t retries = retry_window_.retries().size();
   const double allowed = budget.floor + budget.share * static_cast<double>(retry_window_.arrivals().size());
-  if (static_cast<double>(retries) > allowed + rounding_tolerance)
+  if (static_cast<double>(retries) > allowed + rounding_tolerance) {
     violation(Invariant::budget, query_text(action.query) + " is further attempt number " +
                                      std::to_string(retries) + " in its window");
+  }
 }
 
 void InvariantMonitor::check_placement(const SendQuery& action, const Query& query, const Engine& engine) {
@@ -146,9 +149,10 @@
   const double cores = is_known_kind ? module.kinds[engine.entry.kind].cores : 1.0;
   const double max_work = module.overload_multiple * module.slow_start_capacity_share * cores *
                           static_cast<double>(module.overload_window.count());
-  if (static_cast<double>(work.count()) > max_work)
+  if (static_cast<double>(work.count()) > max_work) {
     violation(Invariant::cold_engine, query_text(action.query) + " is more than engine " +
                                           std::to_string(engine.entry.engine) + " can take, cold as it is");
+  }
 }
 
 // ---- Answers ----
@@ -183,9 +187,10 @@
   const bool knows_key_everywhere = class_settings.repeat == Idempotency::idempotent_with_key &&
                                     class_settings.idempotency_scope == IdempotencyScope::all;
   if (class_settings.repeat == Idempotency::idempotent || knows_key_everywhere) return;
-  if (query.first_that_may_have_run() != nullptr)
+  if (query.first_that_may_have_run() != nullptr) {
     violation(Invariant::honest_answer,
               query_text(action.query) + " is refused as harmless to repeat, and may have run");
+  }
 }
 
 }  // namespace paddlestand::core
--- a/src/core/query_coordinator.cpp
+++ b/src/core/query_coordinator.cpp
@@ -112,7 +112,7 @@
   if (processing_module_events_) return;
   processing_module_events_ = true;
   while (!module_events_.empty()) {
-    const Event event = std::move(module_events_.front());
+    const Event event = module_events_.front();
     module_events_.pop_front();
     module_actions_.clear();
     module_notified_at_ = now_;
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -216,10 +216,11 @@
   Duration probe_timeout{};
   Duration cancel_grace{};  ///< how long an engine may take to confirm a cancel
   std::size_t answer_buffer =
-      64 * 1024;  ///< bytes; an answer up to this size can be retried unseen by the client
-  std::size_t client_window = 256 * 1024;  ///< bytes delivered but not consumed beyond which a channel pauses
+      std::size_t{64} * 1024;  ///< bytes; an answer up to this size can be retried unseen by the client
+  std::size_t client_window =
+      std::size_t{256} * 1024;  ///< bytes delivered but not consumed beyond which a channel pauses
   /// Bytes over all sessions; beyond it every channel may still hold one part.
-  std::size_t buffers_in_total = 64 * 1024 * 1024;
+  std::size_t buffers_in_total = std::size_t{64} * 1024 * 1024;
 };
 
 }  // namespace paddlestand::core
--- a/src/platform/client.cpp
+++ b/src/platform/client.cpp
@@ -21,10 +21,12 @@
 
 namespace {
 
-constexpr std::size_t max_line_bytes = 96 * 1024;  // the largest statement in base64 fits
-constexpr std::size_t max_bytes_per_read = 64 * 1024;  // of one client in one turn of the event loop
+constexpr std::size_t max_line_bytes = std::size_t{96} * 1024;  // the largest statement in base64 fits
+constexpr std::size_t max_bytes_per_read =
+    std::size_t{64} * 1024;  // of one client in one turn of the event loop
 constexpr std::size_t max_unwritten_lines = 128;  // for a client that does not read them
-constexpr std::size_t max_dropped_bytes = 256 * 1024;  // received after the end of a connection was decided
+constexpr std::size_t max_dropped_bytes =
+    std::size_t{256} * 1024;  // received after the end of a connection was decided
 constexpr auto first_message_timeout = 2s;
 constexpr auto idle_timeout = 6s;  // clients close theirs after 4 s without an open request
 constexpr auto write_timeout = 4s;  // without any progress
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -52,9 +52,10 @@
   const json::value& value = member(object, name);
   json::error_code error;
   const auto number = value.is_number() ? value.to_number<double>(error) : std::nan("");
-  if (error || !(number >= min && number <= max))
+  if (error || !(number >= min && number <= max)) {
     throw ConfigError{std::string(name) + "; wanted: a number from " + std::to_string(min) + " to " +
                       std::to_string(max)};
+  }
   return number;
 }
 
--- a/src/platform/config_reloader.cpp
+++ b/src/platform/config_reloader.cpp
@@ -13,9 +13,10 @@
 void ConfigReloader::reload() {
   const auto config = read_config(path_);
   if (const auto* problem = std::get_if<Problem>(&config)) {
-    if (!is_failure_logged_)
+    if (!is_failure_logged_) {
       host_.log().error(observe::LogEvent::config_reload,
                         problem->text + "; nothing is changed, it is read again soon");
+    }
     is_failure_logged_ = true;
     retry_later();
     return;
--- a/src/platform/discovery_watch.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -147,7 +147,7 @@
 asio::awaitable<DiscoveryWatch::SubscriptionEnd> DiscoveryWatch::read_events(
     std::shared_ptr<Subscription> subscription) {
   using Cause = SubscriptionEnd::Cause;
-  std::array<char, 4096> buffer;
+  std::array<char, 4096> buffer{};
   limit(subscription, silence_timeout);
   IoStatus last = IoStatus::would_block;
   for (;;) {
--- a/src/platform/engine_connections.cpp
+++ b/src/platform/engine_connections.cpp
@@ -37,7 +37,7 @@
 
 EngineConnections::Connection EngineConnections::open(EngineId engine, const tcp::endpoint& address) {
   const EngineConnectionTarget target{engine, address, ++last_number_, settings_.connect_timeout};
-  const auto connection = std::make_shared<EngineConnection>(host_, listener_, target);
+  auto connection = std::make_shared<EngineConnection>(host_, listener_, target);
   connections_[engine].push_back(connection);
   ++size_;
   connection->start();
--- a/src/platform/engine_dispatch.cpp
+++ b/src/platform/engine_dispatch.cpp
@@ -48,7 +48,7 @@
   const auto address = endpoints_.address(engine);
   if (!address) return nullptr;
   for (;;) {
-    const auto connection = connections_.place(engine, endpoint_of(*address), use, stream, endpoints_.size());
+    auto connection = connections_.place(engine, endpoint_of(*address), use, stream, endpoints_.size());
     if (!connection || !connection->is_closed_by_engine()) return connection;
     on_lost(connection, core::ChannelLossReason::closed, "ended");
   }
--- a/src/platform/hex.hpp
+++ b/src/platform/hex.hpp
@@ -1,6 +1,8 @@
 /// Ids as they are written in logs and messages.
 #pragma once
 
+#include <array>
+#include <cstddef>
 #include <cstdint>
 #include <cstdio>
 #include <string>
@@ -9,9 +11,10 @@
 
 /// 16 hex digits.
 inline std::string hex_of(std::uint64_t value) {
-  char text[17];
-  std::snprintf(text, sizeof(text), "%016llx", static_cast<unsigned long long>(value));
-  return text;
+  constexpr std::size_t digits = 16;
+  std::array<char, digits + 1> text{};
+  std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(value));
+  return text.data();
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/paged_answer.cpp
+++ b/src/platform/paged_answer.cpp
@@ -13,10 +13,12 @@
       pages_.resize(answer.pages);
       missing_pages_ = answer.pages;
       return add_page(0, std::move(answer));
-    case Reply::page:
+    case Reply::page: {
       if (!is_started) return Broken{"a further page before the first"};
-      if (answer.page >= pages_.size()) return Broken{"a page beyond the last"};
-      return add_page(answer.page, std::move(answer));
+      const std::uint32_t page = answer.page;
+      if (page >= pages_.size()) return Broken{"a page beyond the last"};
+      return add_page(page, std::move(answer));
+    }
     case Reply::full:
       if (is_started) return Nothing{};
       return end_with(core::Ending::full, std::move(answer));
--- a/src/protocol/pg/backend_connection.cpp
+++ b/src/protocol/pg/backend_connection.cpp
@@ -14,7 +14,7 @@
 // Messages up to this size are buffered until they are complete. Larger ones of an answer are passed through
 // as they arrive, so that a row of a gigabyte takes no memory; those that are parsed here are never that
 // large.
-constexpr std::size_t max_buffered_message = 64 * 1024;
+constexpr std::size_t max_buffered_message = std::size_t{64} * 1024;
 constexpr std::size_t header_bytes = 5;  // type and length
 constexpr std::uint32_t length_bytes = 4;  // which the length counts
 constexpr std::uint32_t max_length = 0x40000000;  // PostgreSQL's own bound: a gigabyte
@@ -223,8 +223,8 @@
   switch (type) {
     case backend_message::parameter_status: on_parameter_status(body); break;
     case backend_message::notice_response:
-    case backend_message::notification_response: break;
-    case backend_message::error_response: break;  // sent before the engine closes
+    case backend_message::notification_response:
+    case backend_message::error_response: break;  // an error is sent before the engine closes
     default: break_off(std::string("message '") + type + "' on an idle link", events);
   }
 }
--- a/src/protocol/pg/extended_batch.cpp
+++ b/src/protocol/pg/extended_batch.cpp
@@ -56,9 +56,10 @@
   if (auto problem = find_unsupported(scanned)) return problem;
   if (!name.empty() && find(name) != nullptr)
     return error("42P05", "prepared statement \"" + name + "\" already exists");
-  if (!has_capacity(text.size()))
+  if (!has_capacity(text.size())) {
     return error("54000", "too many prepared statements in this session; wanted: at most " +
                               std::to_string(limits_.most_statements));
+  }
   return std::nullopt;
 }
 
--- a/src/protocol/pg/session_parameters.cpp
+++ b/src/protocol/pg/session_parameters.cpp
@@ -42,9 +42,10 @@
 /// The error of a value that is stored nowhere, or can't be set.
 std::optional<Fields> check_value(const std::string& key, const std::string& value) {
   if (is_read_only(key)) return error("55P02", "parameter \"" + key + "\" cannot be changed");
-  if (key.ends_with("_timeout") && !read_milliseconds(value))
+  if (key.ends_with("_timeout") && !read_milliseconds(value)) {
     return error("22023",
                  "invalid value for parameter \"" + key + "\": \"" + value + "\"; wanted: a time, as 500ms");
+  }
   if (value.size() > max_value_bytes) return error("22023", "value of parameter \"" + key + "\" is too long");
   return std::nullopt;
 }
--- a/src/service/client_session.cpp
+++ b/src/service/client_session.cpp
@@ -15,8 +15,9 @@
 namespace {
 
 // Of what is pipelined behind a request in flight; reading ahead finds out that the client has closed.
-constexpr std::size_t max_read_ahead_bytes = 64 * 1024;
-constexpr std::size_t retained_buffer_bytes = 64 * 1024;  // a larger buffer is freed once it is empty
+constexpr std::size_t max_read_ahead_bytes = std::size_t{64} * 1024;
+constexpr std::size_t retained_buffer_bytes =
+    std::size_t{64} * 1024;  // a larger buffer is freed once it is empty
 
 void free_buffer(std::string& buffer) { std::string().swap(buffer); }
 
--- a/src/service/dispatcher_host.cpp
+++ b/src/service/dispatcher_host.cpp
@@ -3,13 +3,12 @@
 #include <algorithm>
 
 namespace paddlestand::service {
-namespace asio = boost::asio;
 using boost::system::error_code;
 using std::chrono::steady_clock;
 
 namespace {
 
-constexpr std::size_t scratch_bytes = 256 * 1024;
+constexpr std::size_t scratch_bytes = std::size_t{256} * 1024;
 constexpr Duration min_stall = std::chrono::milliseconds(10);  // any timer may be late by less
 constexpr Duration stall_memory = std::chrono::milliseconds(50);
 
--- a/src/service/engine_channel.cpp
+++ b/src/service/engine_channel.cpp
@@ -59,7 +59,7 @@
     const IoResult sent = socket_.send(bytes);
     if (sent.status == IoStatus::ended) co_return;
     bytes.erase(0, sent.bytes);
-    if (sent.status != IoStatus::progress) co_await socket_.wait_to_send(sent.status);
+    if (sent.status != IoStatus::progress) { co_await socket_.wait_to_send(sent.status); }
   }
 }
 
@@ -86,7 +86,7 @@
     if (is_paused_) continue;
     std::string reply;
     last = receive_some(reply);
-    if (!is_closed_ && !reply.empty()) co_await write_login(std::move(reply));
+    if (!is_closed_ && !reply.empty()) { co_await write_login(std::move(reply)); }
   }
 }
 
--- a/src/service/graceful_closer.cpp
+++ b/src/service/graceful_closer.cpp
@@ -41,7 +41,7 @@
     const IoResult sent = socket.send(bytes);
     if (sent.status == IoStatus::ended) break;
     bytes.erase(0, sent.bytes);
-    if (sent.status != IoStatus::progress) co_await pause_for(io_, shortage_pause);
+    if (sent.status != IoStatus::progress) { co_await pause_for(io_, shortage_pause); }
   }
   // The startup message is read first: a close over unread bytes would reset the connection and drop the
   // error.
--- a/src/service/listener.cpp
+++ b/src/service/listener.cpp
@@ -97,7 +97,7 @@
 asio::awaitable<void> Listener::wait_until_pending(Duration pause_on_error) {
   error_code error;
   co_await acceptor_.async_wait(tcp::acceptor::wait_read, asio::redirect_error(asio::use_awaitable, error));
-  if (error && is_open()) co_await pause_for(io_, pause_on_error);
+  if (error && is_open()) { co_await pause_for(io_, pause_on_error); }
 }
 
 asio::awaitable<void> Listener::run() {
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -3,6 +3,7 @@
 #include <openssl/rand.h>
 
 #include <algorithm>
+#include <array>
 #include <utility>
 
 #include "client_session.hpp"
@@ -53,9 +54,9 @@
 PostgresServer::~PostgresServer() = default;
 
 std::string PostgresServer::make_nonce() {
-  unsigned char random[nonce_bytes];
-  RAND_bytes(random, sizeof(random));
-  return pg::base64({reinterpret_cast<const char*>(random), sizeof(random)});
+  std::array<unsigned char, nonce_bytes> random{};
+  RAND_bytes(random.data(), static_cast<int>(random.size()));
+  return pg::base64({reinterpret_cast<const char*>(random.data()), random.size()});
 }
 
 pg::EngineLogin PostgresServer::engine_login() const {
@@ -237,9 +238,10 @@
 // ---- Reloads, signals, shutdown ----
 
 void PostgresServer::on_reload_fault(const std::string& fault) {
-  if (!reload_retry_.is_retrying())
+  if (!reload_retry_.is_retrying()) {
     log_.error(observe::LogEvent::config_reload,
                fault + "; nothing is changed, it is read again for a while");
+  }
   reload_retry_.on_failure();
 }
 
--- a/src/service/side_connections.cpp
+++ b/src/service/side_connections.cpp
@@ -1,5 +1,6 @@
 #include "side_connections.hpp"
 
+#include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/experimental/awaitable_operators.hpp>
 #include <boost/asio/redirect_error.hpp>
@@ -13,7 +14,7 @@
 
 namespace paddlestand::service {
 namespace asio = boost::asio;
-using asio::experimental::awaitable_operators::operator||;
+using asio::experimental::awaitable_operators::operator||;  // NOLINT(misc-unused-using-decls): of awaitables
 using asio::ip::tcp;
 using boost::system::error_code;
 
@@ -37,7 +38,7 @@
   std::string bytes;
   pg::put_cancel(bytes, key);
   co_await asio::async_write(socket, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
-  char unused[16];
+  std::array<char, 16> unused{};
   co_await socket.async_read_some(asio::buffer(unused), asio::redirect_error(asio::use_awaitable, error));
 }
 
--- a/src/service/socket_calls.cpp
+++ b/src/service/socket_calls.cpp
@@ -26,7 +26,7 @@
 constexpr Duration connect_margin = 20ms;  // before the limit: no attempt begins that late
 constexpr int max_option_attempts = 8;
 constexpr Duration linger_poll_period = 20ms;
-constexpr std::size_t max_lingering_bytes = 256 * 1024;
+constexpr std::size_t max_lingering_bytes = std::size_t{256} * 1024;
 
 error_code last_error() { return {errno, boost::system::system_category()}; }
 
@@ -154,6 +154,8 @@
 bool StreamSocket::shut_down_sending() { return service::shut_down_sending(socket_.native_handle()); }
 
 asio::io_context& StreamSocket::io() {
+  // The executor's context is the io_context that the socket was made with.
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-static-cast-downcast): it has no virtual function to check by
   return static_cast<asio::io_context&>(socket_.get_executor().context());
 }
 
@@ -187,16 +189,17 @@
 
 asio::awaitable<void> StreamSocket::wait(tcp::socket::wait_type readiness, IoStatus last) {
   error_code error;
-  if (last != IoStatus::retry_later)
+  if (last != IoStatus::retry_later) {
     co_await socket_.async_wait(readiness, asio::redirect_error(asio::use_awaitable, error));
+  }
   // That a wait fails says nothing of the connection: the next call finds out.
   const bool closed = error == asio::error::operation_aborted || !socket_.is_open();
-  if (last == IoStatus::retry_later || (error && !closed)) co_await pause_for(io(), shortage_pause);
+  if (last == IoStatus::retry_later || (error && !closed)) { co_await pause_for(io(), shortage_pause); }
 }
 
 asio::awaitable<void> linger_and_close(StreamSocket socket) {
   const auto end = std::chrono::steady_clock::now() + linger_time;
-  std::array<char, 4096> discarded;
+  std::array<char, 4096> discarded{};
   std::size_t bytes = 0;
   if (!socket.shut_down_sending()) co_return;
   while (std::chrono::steady_clock::now() < end && bytes < max_lingering_bytes) {
