--- a/simulation/engine_model/engine_model.cpp
+++ b/simulation/engine_model/engine_model.cpp
@@ -3,65 +3,70 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
+#include <utility>
 
 namespace paddlestand::simulation {
 namespace {
-constexpr std::array<double, 4> lane_weight{1, 4, 8, 16};
-constexpr double nothing_left = 1e-9;
-constexpr Seconds cold_step = 0.25;  // how finely a cold engine's growing capacity is followed
-}  // namespace
 
-EngineModel::EngineModel(EngineShape shape, Seconds now) : shape_(shape), now_(now), started_(now) {}
+constexpr std::array<double, 4> weight_of_priority{1, 4, 8, 16};
+constexpr std::uint8_t max_priority = 3;
+constexpr double negligible_work = 1e-9;
+constexpr Seconds cold_update_period = 0.25;  // how often a cold engine's growing capacity is updated
+constexpr double sufficient_memory_share = 0.99;
 
-double EngineModel::capacity(Seconds now) const {
-  double part = 1;
-  if (shape_.slow_start_duration > 0 && now < started_ + shape_.slow_start_duration)
-    part = shape_.slow_start_capacity_share +
-           (1 - shape_.slow_start_capacity_share) * (now - started_) / shape_.slow_start_duration;
-  return shape_.cores * shape_.speed * part / slow_;
+double weighted_threads(const Job& job) {
+  return job.threads * weight_of_priority[std::min(job.priority, max_priority)];
 }
 
-void EngineModel::read_tables(Running& run) {
-  const auto found = std::find(warm_.begin(), warm_.end(), run.job.tables);
-  const bool was_warm = found != warm_.end();
-  if (was_warm) warm_.erase(found);
-  warm_.push_front(run.job.tables);
-  if (warm_.size() > shape_.warm_tables) warm_.pop_back();
-  run.whole = run.job.work * (was_warm ? 1 - run.job.reads * shape_.warm_saves : 1);
-}
+}  // namespace
+
+EngineModel::EngineModel(EngineShape shape, Seconds now) : shape_(shape), now_(now), started_(now) {}
+
+// ---- Jobs ----
 
-Taken EngineModel::take(Seconds now, Job job) {
+Admission EngineModel::start(Seconds now, Job job) {
   run_to(now);
-  if (fell_) return Taken::fell;
-  const bool cold = shape_.slow_start_duration > 0 && now < started_ + shape_.slow_start_duration;
-  if (cold && shape_.overload_multiple > 0) {
-    while (!cold_work_.empty() && cold_work_.front().first < now - shape_.overload_window)
-      cold_work_.pop_front();
-    cold_work_.emplace_back(now, job.work);
-    double sent = 0;
-    for (const auto& [at, work] : cold_work_) sent += work;
-    if (sent > shape_.overload_multiple * capacity(now) * shape_.overload_window) {
-      fell_ = true;
-      return Taken::fell;
-    }
+  if (has_crashed_) return Admission::crashed;
+  if (is_cold(now) && shape_.overload_multiple > 0 && crashes_under(now, job.work)) {
+    has_crashed_ = true;
+    return Admission::crashed;
   }
-  if (jobs_.size() >= shape_.most_jobs) return Taken::full;
+  if (jobs_.size() >= shape_.most_jobs) return Admission::overloaded;
   Running run;
   run.job = job;
   if (run.job.granted_mb <= 0) run.job.granted_mb = run.job.memory_mb;
   read_tables(run);
-  run.left = run.whole;
-  order_.push_back(job.id);
+  run.remaining_work = run.total_work;
+  arrival_order_.push_back(job.id);
   jobs_.emplace(job.id, std::move(run));
-  share_out();
-  return Taken::yes;
+  reschedule();
+  return Admission::accepted;
+}
+
+/// Whether the work that arrived within the overload window, with this, is more than a cold engine can take.
+bool EngineModel::crashes_under(Seconds now, double work) {
+  while (!cold_work_.empty() && cold_work_.front().first < now - shape_.overload_window)
+    cold_work_.pop_front();
+  cold_work_.emplace_back(now, work);
+  double total = 0;
+  for (const auto& [time, arrived] : cold_work_) total += arrived;
+  return total > shape_.overload_multiple * capacity(now) * shape_.overload_window;
+}
+
+void EngineModel::read_tables(Running& run) {
+  const auto found = std::find(cached_tables_.begin(), cached_tables_.end(), run.job.tables);
+  const bool is_cached = found != cached_tables_.end();
+  if (is_cached) cached_tables_.erase(found);
+  cached_tables_.push_front(run.job.tables);
+  if (cached_tables_.size() > shape_.warm_tables) cached_tables_.pop_back();
+  run.total_work = run.job.work * (is_cached ? 1 - run.job.reads * shape_.warm_saves : 1);
 }
 
 bool EngineModel::cancel(Seconds now, JobId id) {
   run_to(now);
   if (jobs_.erase(id) == 0) return false;
-  std::erase(order_, id);
-  share_out();
+  std::erase(arrival_order_, id);
+  reschedule();
   return true;
 }
 
@@ -69,170 +74,225 @@
   run_to(now);
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
-  found->second.job.priority = std::min<std::uint8_t>(priority, 3);
+  found->second.job.priority = std::min(priority, max_priority);
   if (granted_mb > 0) found->second.job.granted_mb = granted_mb;
-  share_out();
-}
-
-// Who runs, who waits in line for memory or for a load, and how fast each that runs goes.
-void EngineModel::share_out() {
-  std::set<std::uint64_t> written;
-  double memory = 0, threads = 0, weighed = 0;
-  std::vector<JobId> line = order_;
-  std::stable_sort(line.begin(), line.end(), [this](JobId a, JobId b) {
-    // Who runs goes on; then by priority, then in turn.
-    const Running &x = jobs_.at(a), &y = jobs_.at(b);
-    const bool x_runs = x.left < x.whole, y_runs = y.left < y.whole;
-    if (x_runs != y_runs) return x_runs;
-    return x.job.priority > y.job.priority;
+  reschedule();
+}
+
+bool EngineModel::is_spilling(JobId id) const {
+  const auto found = jobs_.find(id);
+  return found != jobs_.end() && found->second.is_spilling;
+}
+
+bool EngineModel::is_waiting(JobId id) const {
+  const auto found = jobs_.find(id);
+  return found != jobs_.end() && found->second.is_waiting;
+}
+
+double EngineModel::progress_of(JobId id) const {
+  const auto found = jobs_.find(id);
+  if (found == jobs_.end() || found->second.total_work <= 0) return 1;
+  return 1 - found->second.remaining_work / found->second.total_work;
+}
+
+// ---- Scheduling ----
+
+/// Decides which jobs run and how fast.
+void EngineModel::reschedule() {
+  const Demand demand = select_running();
+  if (is_hung_ || demand.threads <= 0) return;
+  distribute_cores(demand, throughput_per_core(demand));
+  if (is_paging(demand)) return;  // its cost is in the throughput of all
+  for (auto& [id, run] : jobs_) {
+    if (run.is_spilling) run.rate /= shape_.short_cost;
+  }
+}
+
+/// Jobs that have begun, then the others by priority, then by arrival.
+std::vector<JobId> EngineModel::scheduling_order() const {
+  std::vector<JobId> order = arrival_order_;
+  std::stable_sort(order.begin(), order.end(), [this](JobId first_id, JobId second_id) {
+    const Running& first = jobs_.at(first_id);
+    const Running& second = jobs_.at(second_id);
+    const bool first_has_begun = first.remaining_work < first.total_work;
+    const bool second_has_begun = second.remaining_work < second.total_work;
+    if (first_has_begun != second_has_begun) return first_has_begun;
+    return first.job.priority > second.job.priority;
   });
-  bool blocked = false;
-  for (const JobId id : line) {
+  return order;
+}
+
+/// Decides which jobs run, wait for memory or for a load, or spill. Sets all rates to zero.
+EngineModel::Demand EngineModel::select_running() {
+  Demand demand;
+  std::set<std::uint64_t> locked_tables;
+  bool is_line_blocked = false;
+  for (const JobId id : scheduling_order()) {
     Running& run = jobs_.at(id);
-    run.waits = run.spills = false;
+    run.is_waiting = false;
+    run.is_spilling = false;
     run.rate = 0;
-    if ((run.job.writes || run.job.waits_for_writers) && written.contains(run.job.tables)) {
-      run.waits = true;
+    const bool respects_locks = run.job.writes || run.job.waits_for_writers;
+    if (respects_locks && locked_tables.contains(run.job.tables)) {
+      run.is_waiting = true;
       continue;
     }
-    const bool too_much = memory + run.job.granted_mb > shape_.memory_mb && memory > 0;
-    if (too_much && shape_.when_short == MemoryShort::wait_in_line) blocked = true;
-    if (blocked) {
-      run.waits = true;
+    const bool is_memory_short =
+        demand.memory_mb + run.job.granted_mb > shape_.memory_mb && demand.memory_mb > 0;
+    if (is_memory_short && shape_.when_short == MemoryShort::wait_in_line) is_line_blocked = true;
+    if (is_line_blocked) {
+      run.is_waiting = true;
       continue;
     }
-    if (run.job.writes) written.insert(run.job.tables);
-    memory += run.job.granted_mb;
-    run.spills = run.job.granted_mb < 0.99 * run.job.memory_mb ||
-                 (too_much && shape_.when_short != MemoryShort::wait_in_line);
-    threads += run.job.threads;
-    weighed += run.job.threads * lane_weight[std::min<std::uint8_t>(run.job.priority, 3)];
+    if (run.job.writes) locked_tables.insert(run.job.tables);
+    run.is_spilling = run.job.granted_mb < sufficient_memory_share * run.job.memory_mb || is_memory_short;
+    demand.memory_mb += run.job.granted_mb;
+    demand.threads += run.job.threads;
+    demand.weighted_threads += weighted_threads(run.job);
+  }
+  return demand;
+}
+
+bool EngineModel::is_paging(const Demand& demand) const {
+  return shape_.when_short == MemoryShort::page && demand.memory_mb > shape_.memory_mb;
+}
+
+double EngineModel::throughput_per_core(const Demand& demand) const {
+  const double threads_per_core = demand.threads / shape_.cores;
+  double throughput = capacity(now_);
+  if (threads_per_core > shape_.knee) throughput /= 1 + shape_.fall_beyond * (threads_per_core - shape_.knee);
+  if (is_paging(demand)) throughput /= shape_.short_cost;
+  return throughput / shape_.cores;
+}
+
+/// Gives cores to the running jobs by priority, but to none more than its threads can use: what it can't use
+/// is distributed among the others.
+void EngineModel::distribute_cores(const Demand& demand, double throughput_per_core) {
+  std::vector<Running*> unsatisfied;
+  for (const JobId id : arrival_order_) {
+    Running& run = jobs_.at(id);
+    if (!run.is_waiting) unsatisfied.push_back(&run);
   }
-  if (hung_ || threads <= 0) return;
-  const double crowd = threads / shape_.cores;
-  double total = capacity(now_);
-  if (crowd > shape_.knee) total /= 1 + shape_.fall_beyond * (crowd - shape_.knee);
-  const bool pages = shape_.when_short == MemoryShort::page && memory > shape_.memory_mb;
-  if (pages) total /= shape_.short_cost;
-  const double core = total / shape_.cores;
-  // Cores by priority, but never more to one than its threads can use; what is left over goes round.
-  std::vector<Running*> open;
-  for (const JobId id : order_)
-    if (Running& run = jobs_.at(id); !run.waits) open.push_back(&run);
   double cores = shape_.cores;
-  double weight = weighed;
-  for (bool again = true; again && !open.empty();) {
-    again = false;
-    for (auto it = open.begin(); it != open.end();) {
+  double weight = demand.weighted_threads;
+  bool has_changed = true;
+  while (has_changed && !unsatisfied.empty()) {
+    has_changed = false;
+    for (auto it = unsatisfied.begin(); it != unsatisfied.end();) {
       Running& run = **it;
-      const double own = run.job.threads * lane_weight[std::min<std::uint8_t>(run.job.priority, 3)];
-      if (cores * own / weight < run.job.threads) {
+      const double own_weight = weighted_threads(run.job);
+      if (cores * own_weight / weight < run.job.threads) {
         ++it;
         continue;
       }
-      run.rate = run.job.threads * core;
+      run.rate = run.job.threads * throughput_per_core;
       cores -= run.job.threads;
-      weight -= own;
-      it = open.erase(it);
-      again = true;
+      weight -= own_weight;
+      it = unsatisfied.erase(it);
+      has_changed = true;
     }
   }
-  for (Running* run : open) {
-    const double own = run->job.threads * lane_weight[std::min<std::uint8_t>(run->job.priority, 3)];
-    run->rate = std::max(0.0, cores) * own / weight * core;
-  }
-  for (auto& [id, run] : jobs_)
-    if (run.spills && !pages) run.rate /= shape_.short_cost;
+  for (Running* run : unsatisfied)
+    run->rate = std::max(0.0, cores) * weighted_threads(run->job) / weight * throughput_per_core;
+}
+
+// ---- Time ----
+
+bool EngineModel::is_cold(Seconds now) const {
+  return shape_.slow_start_duration > 0 && now < started_ + shape_.slow_start_duration;
+}
+
+/// Seconds of work on one thread per second, of all cores together.
+double EngineModel::capacity(Seconds now) const {
+  double share = 1;
+  if (is_cold(now))
+    share = shape_.slow_start_capacity_share +
+            (1 - shape_.slow_start_capacity_share) * (now - started_) / shape_.slow_start_duration;
+  return shape_.cores * shape_.speed * share / slowdown_;
 }
 
 std::optional<Seconds> EngineModel::next_end() const {
   std::optional<Seconds> first;
   for (const auto& [id, run] : jobs_) {
     if (run.rate <= 0) continue;
-    const Seconds end = now_ + run.left / run.rate;
+    const Seconds end = now_ + run.remaining_work / run.rate;
     if (!first || end < *first) first = end;
   }
-  // A cold engine speeds up by itself: its shares are looked at again meanwhile.
-  if (first && shape_.slow_start_duration > 0 && now_ < started_ + shape_.slow_start_duration)
-    first = std::min(*first, now_ + cold_step);
+  // A cold engine's capacity grows meanwhile: the rates are computed again before the end.
+  if (first && is_cold(now_)) first = std::min(*first, now_ + cold_update_period);
   return first;
 }
 
 void EngineModel::run_to(Seconds now) {
   while (now_ < now) {
     const auto end = next_end();
-    const Seconds to = end ? std::min(*end, now) : now;
-    const Seconds span = to - now_;
-    now_ = to;
-    std::vector<JobId> done;
-    for (const JobId id : order_) {
-      Running& run = jobs_.at(id);
-      run.left -= run.rate * span;
-      if (run.left <= nothing_left + run.rate * 1e-9) done.push_back(id);
-    }
-    for (const JobId id : done) {
-      const Running& run = jobs_.at(id);
-      ended_.push_back({id, run.whole, run.job.memory_mb});
-      jobs_.erase(id);
-      std::erase(order_, id);
-    }
-    const bool cold =
-        shape_.slow_start_duration > 0 && now_ < started_ + shape_.slow_start_duration + cold_step;
-    if (!done.empty() || cold) share_out();
-    if (done.empty() && span <= 0) break;
+    const Seconds target = end ? std::min(*end, now) : now;
+    const Seconds span = target - now_;
+    now_ = target;
+    const bool has_finished = !remove_finished(span).empty();
+    const bool has_new_capacity =
+        shape_.slow_start_duration > 0 && now_ < started_ + shape_.slow_start_duration + cold_update_period;
+    if (has_finished || has_new_capacity) reschedule();
+    if (!has_finished && span <= 0) break;
   }
 }
 
+/// Lets all jobs run for `span` and removes those that end with it.
+std::vector<JobId> EngineModel::remove_finished(Seconds span) {
+  std::vector<JobId> finished;
+  for (const JobId id : arrival_order_) {
+    Running& run = jobs_.at(id);
+    run.remaining_work -= run.rate * span;
+    if (run.remaining_work <= negligible_work + run.rate * 1e-9) finished.push_back(id);
+  }
+  for (const JobId id : finished) {
+    const Running& run = jobs_.at(id);
+    ended_.push_back({id, run.total_work, run.job.memory_mb});
+    jobs_.erase(id);
+    std::erase(arrival_order_, id);
+  }
+  return finished;
+}
+
 std::vector<JobEnd> EngineModel::advance(Seconds now) {
   run_to(now);
-  std::vector<JobEnd> out;
-  out.swap(ended_);
-  return out;
+  return std::exchange(ended_, {});
 }
 
+// ---- Faults ----
+
 void EngineModel::slow_down(Seconds now, double factor) {
   run_to(now);
-  slow_ = std::max(factor, 1e-3);
-  share_out();
+  slowdown_ = std::max(factor, 1e-3);
+  reschedule();
 }
 
-void EngineModel::hang(Seconds now, bool on) {
+void EngineModel::hang(Seconds now) { set_hung(now, true); }
+
+void EngineModel::resume(Seconds now) { set_hung(now, false); }
+
+void EngineModel::set_hung(Seconds now, bool is_hung) {
   run_to(now);
-  hung_ = on;
-  share_out();
+  is_hung_ = is_hung;
+  reschedule();
 }
 
-void EngineModel::flush(Seconds now) {
+void EngineModel::clear_table_cache(Seconds now) {
   run_to(now);
-  warm_.clear();
+  cached_tables_.clear();
 }
 
 void EngineModel::restart(Seconds now) {
   run_to(now);
   jobs_.clear();
-  order_.clear();
+  arrival_order_.clear();
   ended_.clear();
-  warm_.clear();
+  cached_tables_.clear();
   cold_work_.clear();
   started_ = now;
-  hung_ = fell_ = false;
-  slow_ = 1;
-}
-
-bool EngineModel::spills(JobId id) const {
-  const auto found = jobs_.find(id);
-  return found != jobs_.end() && found->second.spills;
-}
-
-bool EngineModel::waits(JobId id) const {
-  const auto found = jobs_.find(id);
-  return found != jobs_.end() && found->second.waits;
-}
-
-double EngineModel::share_done(JobId id) const {
-  const auto found = jobs_.find(id);
-  if (found == jobs_.end() || found->second.whole <= 0) return 1;
-  return 1 - found->second.left / found->second.whole;
+  is_hung_ = false;
+  has_crashed_ = false;
+  slowdown_ = 1;
 }
 
 }  // namespace paddlestand::simulation
--- /dev/null
+++ b/test_engine/server_commands.cpp
@@ -0,0 +1,106 @@
+// The commands of a test engine's control port.
+#include <algorithm>
+#include <array>
+#include <cstdlib>
+#include <nlohmann/json.hpp>
+#include <sstream>
+#include <string_view>
+
+#include "engine_context.hpp"
+#include "server.hpp"
+#include "session.hpp"
+
+namespace paddlestand::test_engine {
+
+struct Server::Command {
+  std::string_view word;
+  void (*execute)(Server& server, double value);
+};
+
+std::string Server::command(const std::string& line) {
+  static constexpr std::array commands{
+      Command{"normal", [](Server& server, double) { server.clear_faults(); }},
+      Command{"hang",
+              [](Server& server, double) {
+                server.engine_->faults.vanish = false;
+                server.hang();
+              }},
+      Command{"vanish",
+              [](Server& server, double) {
+                server.engine_->faults.vanish = true;
+                server.hang();
+              }},
+      Command{"slow",
+              [](Server& server, double factor) {
+                server.engine_->jobs.model().slow_down(shared_clock_s(), factor);
+              }},
+      Command{"fail", [](Server& server, double share) { server.engine_->faults.failure_share = share; }},
+      Command{"lose", [](Server& server, double share) { server.engine_->faults.lost_answer_share = share; }},
+      Command{"mute-first", [](Server& server, double) { server.engine_->faults.mute_before_answer = true; }},
+      Command{"mute-mid", [](Server& server, double) { server.engine_->faults.mute_mid_answer = true; }},
+      Command{"mute-end", [](Server& server, double) { server.engine_->faults.mute_before_ready = true; }},
+      Command{"half-close", [](Server& server, double) { server.engine_->faults.half_close = true; }},
+      Command{"full", [](Server& server, double) { server.engine_->faults.overloaded = true; }},
+      Command{"drain", [](Server& server, double) { server.engine_->faults.draining = true; }},
+      Command{"report-late",
+              [](Server& server, double period_ms) { server.engine_->report_period_s = period_ms / 1000; }},
+      Command{"flush", [](Server& server,
+                          double) { server.engine_->jobs.model().clear_table_cache(shared_clock_s()); }},
+      Command{"reset", [](Server& server, double) { server.abort_sessions(); }},
+      Command{"refuse", [](Server& server, double) { server.stop_listening(); }},
+      Command{"cold", [](Server& server, double) { server.restart_cold(); }},
+      Command{"die", [](Server& server, double) { server.die(); }}};
+
+  std::istringstream in(line);
+  std::string word;
+  double value = 0;
+  in >> word >> value;
+  engine_->log.write("trouble", "", {{"command", line}});
+  const auto found = std::find_if(commands.begin(), commands.end(),
+                                  [&word](const Command& command) { return command.word == word; });
+  if (found == commands.end()) {
+    std::string wanted = "unknown command; wanted:";
+    for (const Command& command : commands) wanted += " " + std::string(command.word);
+    return wanted;
+  }
+  found->execute(*this, value);
+  engine_->jobs.update();
+  return "ok";
+}
+
+void Server::clear_faults() {
+  const bool is_listening = acceptor_->is_open();
+  engine_->faults = {};
+  engine_->jobs.model().resume(shared_clock_s());
+  engine_->jobs.model().slow_down(shared_clock_s(), 1);
+  unserved_.clear();
+  for (const auto& session : engine_->live_sessions()) session->send_withheld();
+  if (!is_listening) listen();
+}
+
+void Server::hang() {
+  engine_->faults.hang = true;
+  engine_->jobs.model().hang(shared_clock_s());
+}
+
+void Server::stop_listening() {
+  boost::system::error_code ignored;
+  acceptor_->close(ignored);
+}
+
+void Server::abort_sessions() {
+  for (const auto& session : engine_->live_sessions()) session->abort();
+}
+
+void Server::restart_cold() {
+  abort_sessions();
+  engine_->jobs.model().restart(shared_clock_s());
+  engine_->log.write("up", "", {{"cold", true}});
+}
+
+void Server::die() {
+  engine_->log.write("died", "");
+  std::_Exit(0);
+}
+
+}  // namespace paddlestand::test_engine
--- /dev/null
+++ b/test_engine/session.hpp
@@ -0,0 +1,102 @@
+/// One PostgreSQL connection to a test engine: its messages, its session settings, its query.
+#pragma once
+
+#include <boost/asio/awaitable.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <deque>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "engine_context.hpp"
+#include "protocol/pg/frame.hpp"
+#include "protocol/pg/messages.hpp"
+#include "query_profile.hpp"
+
+namespace paddlestand::test_engine {
+
+/// Lives as long as one of its coroutines. Belongs to the event loop's thread.
+class Session final : public std::enable_shared_from_this<Session>, public JobOwner {
+ public:
+  using tcp = boost::asio::ip::tcp;
+
+  Session(std::shared_ptr<EngineContext> engine, tcp::socket socket, pg::CancelKey key);
+  ~Session() override;
+  Session(const Session&) = delete;
+  Session& operator=(const Session&) = delete;
+
+  /// Reads and serves until the connection ends.
+  boost::asio::awaitable<void> run();
+
+  /// Cancels the running query, if any.
+  void cancel();
+  void on_job_end(const simulation::JobEnd& end) override;
+  /// Sends a notice of how the running query gets on, if there is one.
+  void send_progress();
+  /// Replaces the priority and the memory grant of the running query, if any.
+  void set_terms(std::uint8_t priority, double memory_mb);
+  /// Sends what was withheld while the engine hung.
+  void send_withheld();
+  /// Resets the connection, as the end of the engine's process does.
+  void abort();
+
+  [[nodiscard]] const pg::CancelKey& key() const { return key_; }
+
+ private:
+  enum class QueryProtocol : std::uint8_t { simple, extended };
+
+  // Connection (session.cpp).
+  bool take_frames();
+  bool on_startup(std::string_view body);
+  void accept_session();
+  void reject_session();
+  boost::asio::awaitable<bool> flush();
+  void process_messages();
+  void process_message(char type, const std::string& body);
+  void on_simple_query(const std::string& statement);
+  void on_describe(const std::string& body);
+  void on_closed();
+
+  // Queries (session_query.cpp).
+  bool execute_setting(const std::string& text);
+  void execute_set_terms(const std::string& text);
+  void execute_set(const std::vector<std::string>& words);
+  void begin_query(const std::string& text, QueryProtocol protocol);
+  void start_job();
+  void reject_overloaded();
+  void fail(const std::string& code, const std::string& message);
+  boost::asio::awaitable<void> finish_query();
+  boost::asio::awaitable<void> wait_for_end();
+  boost::asio::awaitable<bool> send_answer();
+  boost::asio::awaitable<bool> send_rows();
+  void put_description();
+  void put_ready();
+
+  std::shared_ptr<EngineContext> engine_;
+  tcp::socket socket_;
+  pg::CancelKey key_;
+  pg::FrameReader frames_;
+  boost::asio::steady_timer wake_;  // cancelled when the query ends, is cancelled, or the session is closed
+  std::deque<std::pair<char, std::string>> messages_;  // complete, not processed yet
+  std::string output_;
+  std::string manager_;  // its application_name
+  std::string statement_;  // parsed, in the extended protocol
+  std::uint8_t priority_ = 1;
+  double memory_mb_ = 0;
+  QueryProfile profile_;  // of the query
+  simulation::JobId job_ = 0;  // or zero
+  std::optional<simulation::JobEnd> job_end_;
+  QueryProtocol protocol_ = QueryProtocol::simple;
+  bool is_started_ = false;
+  bool has_query_ = false;
+  bool is_cancelled_ = false;
+  bool skips_to_sync_ = false;  // after an error in the extended protocol
+  bool is_writing_ = false;
+  bool is_closed_ = false;
+};
+
+}  // namespace paddlestand::test_engine
--- /dev/null
+++ b/test_engine/truth_log.hpp
@@ -0,0 +1,36 @@
+/// The ground truth of a test engine: what became of each query, one JSON object a line.
+#pragma once
+
+#include <cstdint>
+#include <cstdio>
+#include <memory>
+#include <nlohmann/json_fwd.hpp>
+#include <string>
+
+namespace paddlestand::test_engine {
+
+/// The clock of all logs on one machine: monotonic, in nanoseconds.
+std::int64_t shared_clock();
+/// The same in seconds.
+double shared_clock_s();
+
+class TruthLog {
+ public:
+  /// Appends to `path`; an empty path, or one that can't be opened, writes nothing.
+  TruthLog(std::string engine, const std::string& path);
+
+  /// `event` is the line's "what"; `id` the query's sim_id, or empty. Flushes each line, so that it survives
+  /// a killed process.
+  void write(const char* event, const std::string& id);
+  void write(const char* event, const std::string& id, const nlohmann::json& more);
+
+ private:
+  struct CloseFile {
+    void operator()(std::FILE* file) const { std::fclose(file); }
+  };
+
+  std::string engine_;
+  std::unique_ptr<std::FILE, CloseFile> file_;
+};
+
+}  // namespace paddlestand::test_engine
