--- a/bench_adapter/wire_host.cpp
+++ b/bench_adapter/wire_host.cpp
@@ -1,14 +1,13 @@
 #include "wire_host.hpp"
 
 #include <algorithm>
-#include <bit>
-#include <concepts>
-#include <cstring>
-#include <limits>
-#include <optional>
+#include <chrono>
 #include <utility>
+#include <variant>
 
 #include "config/settings_parser.hpp"
+#include "wire_codes.hpp"
+#include "wire_io.hpp"
 
 namespace paddlestand::bench_adapter {
 using config::gossip_entry_bytes;
@@ -17,391 +16,329 @@
 
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
-
-enum class EventCode : std::uint8_t {
-  status_note = 1,
-  timeout_fired = 2,
-  result = 3,
-  under_way = 4,
-  datagram = 5,
-  snapshot_rows = 6,
-  call = 7,
-  provision = 8,
-  roster_change = 9,
-  check_result = 10,
-  kill = 11,
-  left = 12,
-};
-
-enum class ActionCode : std::uint8_t {
-  reject = 1,
-  recall = 2,
-  announce = 4,
-  send = 5,
-  set_terms = 6,
-  trace = 7,
-  inspect = 8,
-  watch = 9,
-  fault = 10,
-  error = 12,
-  notify_me = 13,
-};
-
-constexpr std::size_t most_text_bytes = 65535;
-constexpr std::size_t most_message_bytes = 256;
-constexpr std::size_t list_entry_bytes = 22;
-constexpr std::uint32_t every_peer = 0xffffffff;
-
-class Input {
- public:
-  explicit Input(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
-
-  template <typename T>
-  T take() {
-    T value{};
-    const auto raw = take_bytes(sizeof(T));
-    std::memcpy(&value, raw.data(), sizeof(T));
-    return value;
-  }
-
-  std::span<const std::uint8_t> take_bytes(std::size_t count) {
-    if (count > bytes_.size() - at_) throw MalformedFrame("frame ends inside a record");
-    const auto part = bytes_.subspan(at_, count);
-    at_ += count;
-    return part;
-  }
+// ---- Actions ----
 
-  Duration take_time() { return clamp_time(take<std::uint64_t>()); }
-
-  static Duration clamp_time(std::uint64_t value) {
-    constexpr auto most = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-    return Duration{static_cast<std::int64_t>(std::min(value, most))};
-  }
-
-  [[nodiscard]] bool at_end() const { return at_ == bytes_.size(); }
-  [[nodiscard]] std::size_t left() const { return bytes_.size() - at_; }
-
- private:
-  std::span<const std::uint8_t> bytes_;
-  std::size_t at_ = 0;
-};
-
-class Output {
- public:
-  template <typename T>
-  void put(T value) {
-    const auto at = bytes_.size();
-    bytes_.resize(at + sizeof(T));
-    std::memcpy(bytes_.data() + at, &value, sizeof(T));
-  }
-
-  void start(ActionCode code, std::uint16_t who) {
-    put(static_cast<std::uint8_t>(code));
-    put(who);
-  }
-
-  void put_text(std::string_view text) {
-    text = text.substr(0, most_text_bytes);
-    put(static_cast<std::uint16_t>(text.size()));
-    bytes_.insert(bytes_.end(), text.begin(), text.end());
-  }
-
-  std::vector<std::uint8_t> finish() {
-    const auto length = static_cast<std::uint32_t>(bytes_.size());
-    std::memcpy(bytes_.data(), &length, sizeof(length));
-    return std::move(bytes_);
-  }
-
- private:
-  std::vector<std::uint8_t> bytes_;
-};
+void write_action(WireWriter& out, std::uint16_t instance, const Send& action) {
+  out.begin_record(ActionCode::send, instance);
+  out.write(action.request);
+  out.write(static_cast<std::int64_t>(action.timeout.count()));
+  out.write(action.engine);
+}
 
-void write(Output& out, std::uint16_t who, const Send& action) {
-  out.start(ActionCode::send, who);
-  out.put(action.request);
-  out.put(static_cast<std::int64_t>(action.timeout.count()));
-  out.put(action.engine);
+void write_action(WireWriter& out, std::uint16_t instance, const Cancel& action) {
+  out.begin_record(ActionCode::cancel, instance);
+  out.write(action.request);
+  out.write(static_cast<std::uint16_t>(action.attempt));
 }
-void write(Output& out, std::uint16_t who, const Cancel& action) {
-  out.start(ActionCode::recall, who);
-  out.put(action.request);
-  out.put(static_cast<std::uint16_t>(action.attempt));
+
+void write_action(WireWriter& out, std::uint16_t instance, const Reject& action) {
+  out.begin_record(ActionCode::reject, instance);
+  out.write(action.request);
+  out.write(static_cast<std::uint64_t>(action.retry_after.count()));
 }
-void write(Output& out, std::uint16_t who, const Reject& action) {
-  out.start(ActionCode::reject, who);
-  out.put(action.request);
-  out.put(static_cast<std::uint64_t>(action.retry_after.count()));
+
+void write_action(WireWriter& out, std::uint16_t instance, const Fail& action) {
+  out.begin_record(ActionCode::fail, instance);
+  out.write(action.request);
 }
-void write(Output& out, std::uint16_t who, const Fail& action) {
-  out.start(ActionCode::error, who);
-  out.put(action.request);
+
+void write_action(WireWriter& out, std::uint16_t instance, const SetTimer& action) {
+  out.begin_record(ActionCode::set_timer, instance);
+  out.write(action.token);
+  out.write(static_cast<std::uint64_t>(action.after.count()));
 }
-void write(Output& out, std::uint16_t who, const SetTimer& action) {
-  out.start(ActionCode::notify_me, who);
-  out.put(action.token);
-  out.put(static_cast<std::uint64_t>(action.after.count()));
+
+void write_action(WireWriter& out, std::uint16_t instance, const Probe& action) {
+  out.begin_record(ActionCode::probe, instance);
+  out.write(action.engine);
 }
-void write(Output& out, std::uint16_t who, const Probe& action) {
-  out.start(ActionCode::inspect, who);
-  out.put(action.engine);
+
+void write_action(WireWriter& out, std::uint16_t instance, const SetResourceGrant& action) {
+  out.begin_record(ActionCode::set_resource_grant, instance);
+  out.write(action.request);
+  out.write(action.priority);
+  out.write(static_cast<float>(action.memory_mb));
 }
-void write(Output& out, std::uint16_t who, const SetResourceGrant& action) {
-  out.start(ActionCode::set_terms, who);
-  out.put(action.request);
-  out.put(action.priority);
-  out.put(static_cast<float>(action.memory_mb));
+
+void write_action(WireWriter& out, std::uint16_t instance, const SubscribeEndpoints&) {
+  out.begin_record(ActionCode::subscribe_endpoints, instance);
+  out.write(std::uint8_t{1});
 }
-void write(Output& out, std::uint16_t who, const SubscribeEndpoints&) {
-  out.start(ActionCode::watch, who);
-  out.put(std::uint8_t{1});
+
+/// An engine's mark is the lower half of its id.
+void append_gossip_entry(std::string& bytes, const GossipEntry& entry) {
+  const auto threads =
+      static_cast<std::uint32_t>(std::clamp(entry.threads, 0.0, static_cast<double>(gossip_max_threads)));
+  const double memory_units = entry.memory_share * gossip_memory_units;
+  const auto memory =
+      static_cast<std::uint32_t>(std::clamp(memory_units, 0.0, static_cast<double>(gossip_max_memory)) + 0.5);
+  bytes.push_back(static_cast<char>(entry.engine & 255U));
+  bytes.push_back(static_cast<char>(entry.engine >> 8U & 255U));
+  bytes.push_back(static_cast<char>(threads << gossip_memory_bits | std::min(memory, gossip_max_memory)));
 }
-// An engine's mark is the lower half of its id. Threads take three bits, memory five, in 1/64 of the
-// engine's.
-void write(Output& out, std::uint16_t who, const SendGossip& action) {
+
+void write_action(WireWriter& out, std::uint16_t instance, const SendGossip& action) {
   std::string bytes;
-  for (const GossipEntry& told : action.out) {
-    if (bytes.size() + gossip_entry_bytes > most_message_bytes) break;
-    const auto threads = static_cast<std::uint32_t>(std::clamp(told.threads, 0.0, 7.0));
-    const auto memory = static_cast<std::uint32_t>(std::clamp(told.memory_share * 64, 0.0, 31.0) + 0.5);
-    bytes.push_back(static_cast<char>(told.engine & 255U));
-    bytes.push_back(static_cast<char>(told.engine >> 8U & 255U));
-    bytes.push_back(static_cast<char>(threads << 5U | std::min(memory, 31U)));
+  for (const GossipEntry& entry : action.out) {
+    if (bytes.size() + gossip_entry_bytes > max_gossip_bytes) break;
+    append_gossip_entry(bytes, entry);
   }
-  out.start(ActionCode::announce, who);
-  out.put(every_peer);
-  out.put_text(bytes);
+  out.begin_record(ActionCode::gossip, instance);
+  out.write(all_peers);
+  out.write_text(bytes);
 }
-void write(Output& out, std::uint16_t who, const Log& action) {
-  out.start(ActionCode::trace, who);
-  out.put_text(action.text);
+
+void write_action(WireWriter& out, std::uint16_t instance, const Log& action) {
+  out.begin_record(ActionCode::log, instance);
+  out.write_text(action.text);
 }
 
-AttemptResult read_result(std::uint16_t code) {
-  switch (code) {
-    case 200: return AttemptResult::served;
-    case 502: return AttemptResult::engine_error;
-    case 429: return AttemptResult::rejected;
-    case 408: return AttemptResult::timed_out;
-    case 521: return AttemptResult::connect_failed;
-    case 520: return AttemptResult::reset;
-    case 444: return AttemptResult::cancelled;
-    case 409: return AttemptResult::not_sent;
-    default: throw MalformedFrame("unknown completion code " + std::to_string(code));
+// ---- Events ----
+
+AttemptResult read_result(WireReader& in) {
+  const auto code = in.read<std::uint16_t>();
+  switch (static_cast<CompletionCode>(code)) {
+    case CompletionCode::served: return AttemptResult::served;
+    case CompletionCode::engine_error: return AttemptResult::engine_error;
+    case CompletionCode::rejected: return AttemptResult::rejected;
+    case CompletionCode::timed_out: return AttemptResult::timed_out;
+    case CompletionCode::connect_failed: return AttemptResult::connect_failed;
+    case CompletionCode::reset: return AttemptResult::reset;
+    case CompletionCode::cancelled: return AttemptResult::cancelled;
+    case CompletionCode::not_sent: return AttemptResult::not_sent;
   }
+  throw MalformedFrame("unknown completion code " + std::to_string(code));
 }
 
-EngineEntry read_entry(Input& in) {
+EngineEntry read_entry(WireReader& in) {
   EngineEntry entry;
-  entry.kind = in.take<std::uint16_t>();
-  const auto condition = in.take<std::uint8_t>();
-  if (condition > 2) throw MalformedFrame("unknown engine condition " + std::to_string(condition));
-  entry.state = static_cast<EngineState>(condition);
-  entry.zone = in.take<std::uint8_t>();
-  entry.weight = static_cast<double>(in.take<float>());
-  entry.cell = in.take<std::uint16_t>();
-  entry.engine = in.take<std::uint32_t>();
-  entry.started = in.take_time();
+  entry.kind = in.read<std::uint16_t>();
+  const auto state = in.read<std::uint8_t>();
+  if (state > last_engine_state) throw MalformedFrame("unknown engine condition " + std::to_string(state));
+  entry.state = static_cast<EngineState>(state);
+  entry.zone = in.read<std::uint8_t>();
+  entry.weight = in.read_float();
+  entry.cell = in.read<std::uint16_t>();
+  entry.engine = in.read<std::uint32_t>();
+  entry.started = in.read_time();
   return entry;
 }
 
-LoadReport read_report(Input& in, const std::vector<std::string>& names) {
+LoadReport read_report(WireReader& in, const std::vector<std::string>& names) {
   LoadReport report;
-  const auto count = in.take<std::uint8_t>();
+  const auto count = in.read<std::uint8_t>();
   for (std::size_t i = 0; i < count; ++i) {
-    const auto value = static_cast<double>(in.take<float>());
-    if (i >= names.size()) continue;
-    if (names[i] == "outstanding") report.queries = value;
+    const double value = in.read_float();
+    if (i < names.size() && names[i] == "outstanding") report.queries = value;
   }
   return report;
 }
 
-RequestArrived read_call(Input& in) {
+RequestArrived read_request(WireReader& in) {
   RequestArrived event;
-  event.request = in.take<std::uint64_t>();
-  event.class_index = in.take<std::uint8_t>();
-  event.tenant = in.take<std::uint16_t>();
-  event.ordering_key = in.take<std::uint64_t>();
-  event.client_timeout = in.take_time();
-  const Duration cost = in.take_time();
-  event.estimated_memory_mb = static_cast<double>(in.take<float>());
-  event.tables = static_cast<double>(in.take<float>());
-  const auto flags = in.take<std::uint8_t>();
-  if ((flags & 1U) != 0) event.estimated_cost = cost;
-  event.repeated = (flags & 2U) != 0;
+  event.request = in.read<std::uint64_t>();
+  event.class_index = in.read<std::uint8_t>();
+  event.tenant = in.read<std::uint16_t>();
+  event.ordering_key = in.read<std::uint64_t>();
+  event.client_timeout = in.read_time();
+  const Duration cost = in.read_time();
+  event.estimated_memory_mb = in.read_float();
+  event.tables = in.read_float();
+  const auto flags = in.read<std::uint8_t>();
+  if ((flags & has_estimated_cost) != 0) event.estimated_cost = cost;
+  event.repeated = (flags & is_repeated) != 0;
+  return event;
+}
+
+AnswerStarted read_answer_start(WireReader& in) {
+  const AnswerStarted event{in.read<std::uint64_t>()};
+  in.read<std::uint16_t>();  // attempt
+  in.read<std::uint64_t>();  // time
+  in.read<std::uint32_t>();  // engine
   return event;
 }
 
-AttemptEnded read_outcome(Input& in, const std::vector<std::string>& names, bool tells_cost) {
+AttemptEnded read_attempt_end(WireReader& in, const std::vector<std::string>& report_names,
+                              bool answers_report_cost) {
   AttemptEnded event;
-  event.request = in.take<std::uint64_t>();
-  event.attempt = in.take<std::uint16_t>();
-  event.engine = in.take<std::uint32_t>();
-  event.result = read_result(in.take<std::uint16_t>());
-  event.took = in.take_time();
-  event.request_over = in.take<std::uint8_t>() != 0;
-  const auto bill = in.take<std::uint32_t>();
-  if (tells_cost && bill != 0 && event.result == AttemptResult::served) {
-    event.work = std::chrono::milliseconds{bill / 4096U};
-    event.memory_mb = 4.0 * static_cast<double>(bill % 4096U);
+  event.request = in.read<std::uint64_t>();
+  event.attempt = in.read<std::uint16_t>();
+  event.engine = in.read<std::uint32_t>();
+  event.result = read_result(in);
+  event.took = in.read_time();
+  event.request_over = in.read<std::uint8_t>() != 0;
+  const auto cost = in.read<std::uint32_t>();
+  if (answers_report_cost && cost != 0 && event.result == AttemptResult::served) {
+    event.work = std::chrono::milliseconds{cost / cost_memory_units};
+    event.memory_mb = cost_memory_unit_mb * static_cast<double>(cost % cost_memory_units);
   }
-  event.report = read_report(in, names);
+  event.report = read_report(in, report_names);
   return event;
 }
 
-ProbeEnded read_probe(Input& in, const std::vector<std::string>& names) {
+ProbeEnded read_probe_end(WireReader& in, const std::vector<std::string>& report_names) {
   ProbeEnded event;
-  event.result = read_result(in.take<std::uint16_t>());
-  event.engine = in.take<std::uint32_t>();
-  event.took = in.take_time();
-  event.report = read_report(in, names);
+  event.result = read_result(in);
+  event.engine = in.read<std::uint32_t>();
+  event.took = in.read_time();
+  event.report = read_report(in, report_names);
   return event;
 }
 
-// What is no whole entry, or of an engine that is not known, is passed over: peers may run another build.
-std::uint16_t read_datagram(Input& in, const std::map<std::uint16_t, EngineId>& marks,
-                            std::vector<GossipEntry>& told) {
-  const auto author = in.take<std::uint16_t>();
-  const auto bytes = in.take_bytes(in.take<std::uint16_t>());
-  told.clear();
-  for (std::size_t i = 0; i + gossip_entry_bytes <= bytes.size(); i += gossip_entry_bytes) {
-    const auto mark = static_cast<std::uint16_t>(bytes[i] | bytes[i + 1] << 8U);
-    const auto found = marks.find(mark);
-    if (found == marks.end()) continue;
-    told.push_back({found->second, static_cast<double>(bytes[i + 2] >> 5U),
-                    static_cast<double>(bytes[i + 2] & 31U) / 64});
-  }
-  return author;
-}
-
-ProgressReported read_note(Input& in) {
+ProgressReported read_progress(WireReader& in) {
   ProgressReported event;
-  event.request = in.take<std::uint64_t>();
-  event.attempt = in.take<std::uint16_t>();
-  in.take<std::uint32_t>();
-  const auto what = in.take<std::uint8_t>();
-  if (what < 1 || what > 3) throw MalformedFrame("unknown note " + std::to_string(what));
-  event.kind = static_cast<ProgressKind>(what - 1);
-  event.level = static_cast<double>(in.take<float>());
-  return event;
-}
-
-EndpointsChanged read_change(Input& in, const std::array<std::vector<EngineEntry>, 16>& lists) {
-  const auto ref = in.take<std::uint32_t>();
-  in.take<std::uint64_t>();
-  const auto scope = in.take<std::uint8_t>();
-  if (scope > 3) throw MalformedFrame("unknown scope of a list " + std::to_string(scope));
-  EndpointsChanged event;
-  event.scope = static_cast<EndpointUpdate>(scope);
-  if (event.scope == EndpointUpdate::failed) return event;
-  if (ref >= lists.size()) throw MalformedFrame("list number out of range: " + std::to_string(ref));
-  event.engines = lists[ref];
+  event.request = in.read<std::uint64_t>();
+  event.attempt = in.read<std::uint16_t>();
+  in.read<std::uint32_t>();  // engine
+  const auto kind = in.read<std::uint8_t>();
+  if (kind < first_progress_kind || kind > last_progress_kind)
+    throw MalformedFrame("unknown note " + std::to_string(kind));
+  event.kind = static_cast<ProgressKind>(kind - first_progress_kind);
+  event.level = in.read_float();
   return event;
 }
 
 }  // namespace
 
 std::size_t frame_length(std::span<const std::uint8_t> first_four) {
-  const auto length = Input(first_four).take<std::uint32_t>();
-  if (length < batch_header_bytes || length > most_frame_bytes) {
+  const auto length = WireReader(first_four).read<std::uint32_t>();
+  if (length < batch_header_bytes || length > max_frame_bytes)
     throw MalformedFrame("impossible frame length " + std::to_string(length));
-  }
   return length;
 }
 
 std::vector<std::uint8_t> WireHost::reply_to(std::span<const std::uint8_t> batch) {
-  Input in(batch);
-  if (in.take<std::uint32_t>() != batch.size()) throw MalformedFrame("frame length does not match");
-  const auto records = in.take<std::uint32_t>();
-  const TimePoint now = in.take_time();
-  const auto number = in.take<std::uint32_t>();
-
-  Output out;
-  out.put(std::uint32_t{0});
-  out.put(number);
-
-  const auto instance = [&](std::uint16_t who) -> Instance& {
-    const auto found = instances_.find(who);
-    if (found == instances_.end()) throw MalformedFrame("unknown instance " + std::to_string(who));
-    return found->second;
-  };
-  const auto deliver = [&](std::uint16_t who, const Event& event) {
-    actions_.clear();
-    instance(who).manager.handle(now, event, actions_);
-    for (const Action& action : actions_) {
-      std::visit([&](const auto& item) { write(out, who, item); }, action);
-    }
-  };
-
-  for (std::uint32_t i = 0; i < records; ++i) {
-    const auto code = in.take<std::uint8_t>();
-    if (code == static_cast<std::uint8_t>(EventCode::snapshot_rows)) {
-      const auto ref = in.take<std::uint32_t>();
-      const auto rows = in.take<std::uint32_t>();
-      if (ref >= lists_.size()) throw MalformedFrame("list number out of range: " + std::to_string(ref));
-      if (rows > in.left() / list_entry_bytes) throw MalformedFrame("list longer than its frame");
-      lists_[ref].clear();
-      for (std::uint32_t row = 0; row < rows; ++row) lists_[ref].push_back(read_entry(in));
-      continue;
+  WireReader in(batch);
+  if (in.read<std::uint32_t>() != batch.size()) throw MalformedFrame("frame length does not match");
+  const auto records = in.read<std::uint32_t>();
+  const TimePoint now = in.read_time();
+  const auto number = in.read<std::uint32_t>();
+
+  WireWriter out;
+  out.write(std::uint32_t{0});  // the length, set by finish()
+  out.write(number);
+  for (std::uint32_t i = 0; i < records; ++i) process_record(in, now, out);
+  if (!in.is_at_end()) throw MalformedFrame("bytes after the last record");
+  return out.finish();
+}
+
+void WireHost::process_record(WireReader& in, TimePoint now, WireWriter& out) {
+  const auto code = in.read<std::uint8_t>();
+  if (code == static_cast<std::uint8_t>(EventCode::endpoint_list)) {
+    read_list(in);
+    return;
+  }
+  if (code < first_event_code || code > last_event_code)
+    throw MalformedFrame("unknown event code " + std::to_string(code));
+  const auto id = in.read<std::uint16_t>();
+  switch (static_cast<EventCode>(code)) {
+    case EventCode::create_instance: create_instance(in, id, out); break;
+    case EventCode::destroy_instance:
+      find_instance(id);
+      instances_.erase(id);
+      break;
+    default: dispatch(id, now, read_event(in, code, id), out); break;
+  }
+}
+
+void WireHost::dispatch(std::uint16_t id, TimePoint now, const Event& event, WireWriter& out) {
+  actions_.clear();
+  find_instance(id).manager.handle(now, event, actions_);
+  for (const Action& action : actions_)
+    std::visit([&](const auto& alternative) { write_action(out, id, alternative); }, action);
+}
+
+Event WireHost::read_event(WireReader& in, std::uint8_t code, std::uint16_t id) {
+  switch (static_cast<EventCode>(code)) {
+    case EventCode::progress: return read_progress(in);
+    case EventCode::timer_fired: return TimerFired{in.read<std::uint32_t>()};
+    case EventCode::attempt_ended: {
+      const Instance& instance = find_instance(id);
+      return read_attempt_end(in, instance.report_names, instance.answers_report_cost);
     }
-    if (code < 1 || code > 12) throw MalformedFrame("unknown event code " + std::to_string(code));
-    const auto who = in.take<std::uint16_t>();
-    switch (static_cast<EventCode>(code)) {
-      case EventCode::provision: {
-        const auto seed = in.take<std::uint64_t>();
-        const auto text = in.take_bytes(in.take<std::uint32_t>());
-        const std::string boot(text.begin(), text.end());
-        auto parsed = parse_settings(boot);
-        if (const auto* problem = std::get_if<std::string>(&parsed)) {
-          out.start(ActionCode::fault, who);
-          out.put_text(*problem);
-          parsed = ParsedSettings{};
-        }
-        auto& good = std::get<ParsedSettings>(parsed);
-        good.settings.seed = seed;
-        const bool tells_cost = good.settings.answers_report_cost;
-        instances_.insert_or_assign(
-            who,
-            Instance{
-                WorkloadManager(std::move(good.settings)), std::move(good.report_names), tells_cost, {}});
-        break;
-      }
-      case EventCode::kill:
-        instance(who);
-        instances_.erase(who);
-        break;
-      case EventCode::roster_change: {
-        const EndpointsChanged event = read_change(in, lists_);
-        auto& marks = instance(who).marks;
-        for (const auto& entry : event.engines)
-          marks[static_cast<std::uint16_t>(entry.engine)] = entry.engine;
-        deliver(who, event);
-        break;
-      }
-      case EventCode::call: deliver(who, read_call(in)); break;
-      case EventCode::under_way: {
-        const AnswerStarted event{in.take<std::uint64_t>()};
-        in.take_bytes(2 + 8 + 4);
-        deliver(who, event);
-        break;
-      }
-      case EventCode::status_note: deliver(who, read_note(in)); break;
-      case EventCode::result:
-        deliver(who, read_outcome(in, instance(who).report_names, instance(who).tells_cost));
-        break;
-      case EventCode::left: deliver(who, RequestAbandoned{in.take<std::uint64_t>()}); break;
-      case EventCode::timeout_fired: deliver(who, TimerFired{in.take<std::uint32_t>()}); break;
-      case EventCode::check_result: deliver(who, read_probe(in, instance(who).report_names)); break;
-      case EventCode::datagram: {
-        const auto author = read_datagram(in, instance(who).marks, told_);
-        deliver(who, GossipReceived{author, told_});
-        break;
-      }
-      case EventCode::snapshot_rows: break;
+    case EventCode::answer_started: return read_answer_start(in);
+    case EventCode::gossip: return read_gossip(in, find_instance(id));
+    case EventCode::request_arrived: return read_request(in);
+    case EventCode::endpoints_changed: {
+      EndpointsChanged event = read_endpoints(in);
+      Instance& instance = find_instance(id);
+      for (const EngineEntry& entry : event.engines)
+        instance.engines_by_mark[static_cast<std::uint16_t>(entry.engine)] = entry.engine;
+      return event;
     }
+    case EventCode::probe_ended: return read_probe_end(in, find_instance(id).report_names);
+    case EventCode::request_abandoned: return RequestAbandoned{in.read<std::uint64_t>()};
+    case EventCode::endpoint_list:
+    case EventCode::create_instance:
+    case EventCode::destroy_instance: break;  // no events: see process_record()
   }
-  if (!in.at_end()) throw MalformedFrame("bytes after the last record");
-  return out.finish();
+  throw MalformedFrame("unknown event code " + std::to_string(code));
+}
+
+EndpointsChanged WireHost::read_endpoints(WireReader& in) const {
+  const auto number = in.read<std::uint32_t>();
+  in.read<std::uint64_t>();  // time
+  const auto update = in.read<std::uint8_t>();
+  if (update > last_endpoint_update)
+    throw MalformedFrame("unknown scope of a list " + std::to_string(update));
+  EndpointsChanged event;
+  event.scope = static_cast<EndpointUpdate>(update);
+  if (event.scope != EndpointUpdate::failed) event.engines = list(number);
+  return event;
+}
+
+// Skips bytes that are no complete entry, and entries about unknown engines: peers may run another build.
+GossipReceived WireHost::read_gossip(WireReader& in, const Instance& instance) {
+  const auto author = in.read<std::uint16_t>();
+  const auto bytes = in.read_bytes(in.read<std::uint16_t>());
+  gossip_.clear();
+  for (std::size_t i = 0; i + gossip_entry_bytes <= bytes.size(); i += gossip_entry_bytes) {
+    const auto mark = static_cast<std::uint16_t>(bytes[i] | bytes[i + 1] << 8U);
+    const auto engine = instance.engines_by_mark.find(mark);
+    if (engine == instance.engines_by_mark.end()) continue;
+    const auto load = bytes[i + 2];
+    gossip_.push_back({engine->second, static_cast<double>(load >> gossip_memory_bits),
+                       static_cast<double>(load & gossip_max_memory) / gossip_memory_units});
+  }
+  return {author, gossip_};
+}
+
+void WireHost::read_list(WireReader& in) {
+  const auto number = in.read<std::uint32_t>();
+  const auto rows = in.read<std::uint32_t>();
+  list(number);  // throws where there is none of that number
+  if (rows > in.remaining_bytes() / list_entry_bytes) throw MalformedFrame("list longer than its frame");
+  lists_[number].clear();
+  for (std::uint32_t row = 0; row < rows; ++row) lists_[number].push_back(read_entry(in));
+}
+
+void WireHost::create_instance(WireReader& in, std::uint16_t id, WireWriter& out) {
+  const auto seed = in.read<std::uint64_t>();
+  const auto bytes = in.read_bytes(in.read<std::uint32_t>());
+  auto parsed = parse_settings(std::string(bytes.begin(), bytes.end()));
+  if (const auto* problem = std::get_if<std::string>(&parsed)) {
+    out.begin_record(ActionCode::settings_error, id);
+    out.write_text(*problem);
+    parsed = ParsedSettings{};
+  }
+  auto& settings = std::get<ParsedSettings>(parsed);
+  settings.settings.seed = seed;
+  const bool answers_report_cost = settings.settings.answers_report_cost;
+  instances_.insert_or_assign(id, Instance{WorkloadManager(std::move(settings.settings)),
+                                           std::move(settings.report_names),
+                                           answers_report_cost,
+                                           {}});
+}
+
+WireHost::Instance& WireHost::find_instance(std::uint16_t id) {
+  const auto found = instances_.find(id);
+  if (found == instances_.end()) throw MalformedFrame("unknown instance " + std::to_string(id));
+  return found->second;
+}
+
+const std::vector<EngineEntry>& WireHost::list(std::uint32_t number) const {
+  if (number >= lists_.size()) throw MalformedFrame("list number out of range: " + std::to_string(number));
+  return lists_[number];
 }
 
 }  // namespace paddlestand::bench_adapter
--- a/bench_adapter/wire_host.hpp
+++ b/bench_adapter/wire_host.hpp
@@ -1,4 +1,4 @@
-// Hosts workload managers behind the simulator's wire: one batch frame in, one reply frame out.
+/// Hosts workload managers behind the simulator's wire: one batch frame in, one reply frame out.
 #pragma once
 
 #include <array>
@@ -14,34 +14,50 @@
 
 namespace paddlestand::bench_adapter {
 
-// Input that is not a legal frame. It does not cross the interface of the module.
+/// Input that is not a legal frame. It does not cross the interface of the module.
 struct MalformedFrame : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 inline constexpr std::size_t batch_header_bytes = 20;
-inline constexpr std::size_t most_frame_bytes = std::size_t{1} << 30;
+inline constexpr std::size_t max_frame_bytes = std::size_t{1} << 30;
 
-// The length that a frame states for itself, checked.
+/// The length that a frame's first four bytes state. Throws MalformedFrame where it is impossible.
 std::size_t frame_length(std::span<const std::uint8_t> first_four);
 
+class WireReader;
+class WireWriter;
+
 class WireHost {
  public:
-  // Takes a whole batch frame, with its header, and returns the reply frame.
+  /// Takes a complete batch frame, with its header, and returns the reply frame. Throws MalformedFrame; the
+  /// host is of no further use then.
   std::vector<std::uint8_t> reply_to(std::span<const std::uint8_t> batch);
 
  private:
+  static constexpr std::size_t list_count = 16;
+
   struct Instance {
     WorkloadManager manager;
-    std::vector<std::string> report_names;
-    bool tells_cost = false;
-    std::map<std::uint16_t, EngineId> marks;  // of the engines that its lists named, as peers call them
+    std::vector<std::string> report_names;  // of the values of a load report, in order
+    bool answers_report_cost = false;
+    std::map<std::uint16_t, EngineId> engines_by_mark;  // of its lists; peers call engines by their marks
   };
 
+  void process_record(WireReader& in, TimePoint now, WireWriter& out);
+  void read_list(WireReader& in);
+  void create_instance(WireReader& in, std::uint16_t id, WireWriter& out);
+  Event read_event(WireReader& in, std::uint8_t code, std::uint16_t id);
+  EndpointsChanged read_endpoints(WireReader& in) const;
+  GossipReceived read_gossip(WireReader& in, const Instance& instance);
+  void dispatch(std::uint16_t id, TimePoint now, const Event& event, WireWriter& out);
+  Instance& find_instance(std::uint16_t id);
+  const std::vector<EngineEntry>& list(std::uint32_t number) const;
+
   std::map<std::uint16_t, Instance> instances_;
-  std::array<std::vector<EngineEntry>, 16> lists_;
-  std::vector<Action> actions_;
-  std::vector<GossipEntry> told_;
+  std::array<std::vector<EngineEntry>, list_count> lists_;
+  std::vector<Action> actions_;  // reused from event to event
+  std::vector<GossipEntry> gossip_;  // as actions_; a GossipReceived refers to it
 };
 
 }  // namespace paddlestand::bench_adapter
