--- a/tests/bench_adapter/wire_test.cpp
+++ b/tests/bench_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec on hand-made frames, whole and cut at every byte.
+/// The bench adapter's wire on hand-made frames, complete and truncated at every byte.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,6 +11,7 @@
 namespace paddlestand::bench_adapter {
 namespace {
 
+/// A batch under construction.
 class Frame {
  public:
   template <typename T>
@@ -29,7 +30,7 @@
     ++records_;
     return put(code);
   }
-  [[nodiscard]] std::vector<std::uint8_t> whole(std::uint64_t clock = 1'000'000'000,
+  [[nodiscard]] std::vector<std::uint8_t> bytes(std::uint64_t clock = 1'000'000'000,
                                                 std::uint32_t number = 5) const {
     Frame out;
     out.put(static_cast<std::uint32_t>(bytes_.size() + batch_header_bytes))
@@ -51,10 +52,10 @@
     "family_info.class_threads=1\nfamily_info.kind_cores=8\nfamily_info.size_mb=16384.0\n"
     "permissions.max_attempts=3\npermissions.cancel=true\nreport.names=utilization\nnews.to_come=1\n";
 
-Frame& provision(Frame& f, std::uint16_t who, std::string_view text = boot) {
+Frame& add_instance(Frame& f, std::uint16_t who, std::string_view text = boot) {
   return f.record(8).put(who).put(std::uint64_t{42}).text(text);
 }
-Frame& list(Frame& f, std::uint32_t ref, std::vector<std::uint32_t> engines, std::uint8_t condition = 1) {
+Frame& add_list(Frame& f, std::uint32_t ref, std::vector<std::uint32_t> engines, std::uint8_t condition = 1) {
   f.record(6).put(ref).put(static_cast<std::uint32_t>(engines.size()));
   for (const auto id : engines) {
     f.put(std::uint16_t{0}).put(condition).put(std::uint8_t{0}).put(1.0F).put(std::uint16_t{0}).put(id);
@@ -62,10 +63,10 @@
   }
   return f;
 }
-Frame& roster(Frame& f, std::uint16_t who, std::uint32_t ref, std::uint8_t scope) {
+Frame& add_list_change(Frame& f, std::uint16_t who, std::uint32_t ref, std::uint8_t scope) {
   return f.record(9).put(who).put(ref).put(std::uint64_t{1}).put(scope);
 }
-Frame& call(Frame& f, std::uint16_t who, std::uint64_t id, std::uint8_t cls = 0) {
+Frame& add_request(Frame& f, std::uint16_t who, std::uint64_t id, std::uint8_t cls = 0) {
   f.record(7).put(who).put(id).put(cls).put(std::uint16_t{0}).put(std::uint64_t{0});
   return f.put(std::uint64_t{5'000'000'000})
       .put(std::uint64_t{12'000'000})
@@ -73,10 +74,12 @@
       .put(11.0F)
       .put(std::uint8_t{1});
 }
-Frame& left(Frame& f, std::uint16_t who, std::uint64_t id) { return f.record(12).put(who).put(id); }
+Frame& add_abandonment(Frame& f, std::uint16_t who, std::uint64_t id) {
+  return f.record(12).put(who).put(id);
+}
 
-// The engines named by the sends of a reply.
-std::vector<std::uint32_t> sends(const std::vector<std::uint8_t>& reply) {
+/// The engines that the send actions of a reply name.
+std::vector<std::uint32_t> engines_of_sends(const std::vector<std::uint8_t>& reply) {
   std::vector<std::uint32_t> out;
   for (std::size_t at = 8; at < reply.size();) {
     std::uint16_t n = 0;
@@ -110,91 +113,91 @@
   return out;
 }
 
-TEST(Wire, AnEmptyBatchGetsAnEmptyReply) {
+TEST(Wire, EmptyBatchGetsEmptyReply) {
   WireHost host;
-  const auto reply = host.reply_to(Frame{}.whole(7, 1));
+  const auto reply = host.reply_to(Frame{}.bytes(7, 1));
   const std::vector<std::uint8_t> wanted{8, 0, 0, 0, 1, 0, 0, 0};
   EXPECT_EQ(reply, wanted);
 }
 
-TEST(Wire, ARequestIsSentToAnEngineOfTheList) {
+TEST(Wire, RequestIsSentToListedEngine) {
   WireHost host;
   Frame f;
-  provision(f, 3);
-  list(f, 0, {77});
-  roster(f, 3, 0, 2);
-  call(f, 3, 0xFD50D5D3A91C4);
-  EXPECT_EQ(sends(host.reply_to(f.whole())), std::vector<std::uint32_t>{77});
+  add_instance(f, 3);
+  add_list(f, 0, {77});
+  add_list_change(f, 3, 0, 2);
+  add_request(f, 3, 0xFD50D5D3A91C4);
+  EXPECT_EQ(engines_of_sends(host.reply_to(f.bytes())), std::vector<std::uint32_t>{77});
 }
 
-TEST(Wire, ListNumbersAreResolvedInOrder) {
+TEST(Wire, ListNumbersAreResolvedInOrderOfRecords) {
   WireHost host;
   Frame f;
-  provision(f, 1);
-  provision(f, 2);
-  list(f, 0, {11});
-  roster(f, 1, 0, 1);
-  list(f, 0, {22});
-  roster(f, 2, 0, 1);
-  call(f, 1, 1);
-  call(f, 2, 2);
+  add_instance(f, 1);
+  add_instance(f, 2);
+  add_list(f, 0, {11});
+  add_list_change(f, 1, 0, 1);
+  add_list(f, 0, {22});
+  add_list_change(f, 2, 0, 1);
+  add_request(f, 1, 1);
+  add_request(f, 2, 2);
   const std::vector<std::uint32_t> wanted{11, 22};
-  EXPECT_EQ(sends(host.reply_to(f.whole())), wanted);
+  EXPECT_EQ(engines_of_sends(host.reply_to(f.bytes())), wanted);
 }
 
-TEST(Wire, KillAndProvisionInOneBatchForgetsAll) {
+TEST(Wire, RecreatedInstanceHasNoState) {
   WireHost host;
   Frame first;
-  provision(first, 1);
-  list(first, 0, {11});
-  roster(first, 1, 0, 2);
-  call(first, 1, 1);
-  host.reply_to(first.whole());
+  add_instance(first, 1);
+  add_list(first, 0, {11});
+  add_list_change(first, 1, 0, 2);
+  add_request(first, 1, 1);
+  host.reply_to(first.bytes());
   Frame second;
   second.record(11).put(std::uint16_t{1});
-  provision(second, 1);
-  list(second, 0, {22});
-  roster(second, 1, 0, 2);
-  left(second, 1, 1);
-  call(second, 1, 1);
-  EXPECT_EQ(sends(host.reply_to(second.whole(2'000'000'000))), std::vector<std::uint32_t>{22});
+  add_instance(second, 1);
+  add_list(second, 0, {22});
+  add_list_change(second, 1, 0, 2);
+  add_abandonment(second, 1, 1);
+  add_request(second, 1, 1);
+  EXPECT_EQ(engines_of_sends(host.reply_to(second.bytes(2'000'000'000))), std::vector<std::uint32_t>{22});
 }
 
-TEST(Wire, DeltasAndFailuresKeepTheRestOfTheList) {
+TEST(Wire, DeltasAndFailuresKeepOtherEntries) {
   WireHost host;
   Frame f;
-  provision(f, 1);
-  list(f, 0, {11, 12});
-  roster(f, 1, 0, 2);
-  list(f, 1, {11}, 0);
-  roster(f, 1, 1, 0);
-  roster(f, 1, 99, 3);
-  call(f, 1, 1);
-  EXPECT_EQ(sends(host.reply_to(f.whole())), std::vector<std::uint32_t>{12});
+  add_instance(f, 1);
+  add_list(f, 0, {11, 12});
+  add_list_change(f, 1, 0, 2);
+  add_list(f, 1, {11}, 0);
+  add_list_change(f, 1, 1, 0);
+  add_list_change(f, 1, 99, 3);
+  add_request(f, 1, 1);
+  EXPECT_EQ(engines_of_sends(host.reply_to(f.bytes())), std::vector<std::uint32_t>{12});
 }
 
 TEST(Wire, EventsForUnknownRequestsAreIgnored) {
   WireHost host;
   Frame f;
-  provision(f, 1);
-  left(f, 1, 999);
+  add_instance(f, 1);
+  add_abandonment(f, 1, 999);
   f.record(1).put(std::uint16_t{1}).put(std::uint64_t{999}).put(std::uint16_t{0}).put(std::uint32_t{5});
   f.put(std::uint8_t{1}).put(0.5F);
   f.record(5).put(std::uint16_t{1}).put(std::uint16_t{2}).put(std::uint16_t{2}).put(std::uint16_t{0});
   f.record(10).put(std::uint16_t{1}).put(std::uint16_t{200}).put(std::uint32_t{5}).put(std::uint64_t{1});
   f.put(std::uint8_t{0});
-  EXPECT_TRUE(sends(host.reply_to(f.whole())).empty());
+  EXPECT_TRUE(engines_of_sends(host.reply_to(f.bytes())).empty());
 }
 
-TEST(Wire, AFrameCutAnywhereIsRefusedWithAMessage) {
+TEST(Wire, TruncatedFrameIsRejected) {
   Frame f;
-  provision(f, 3);
-  list(f, 0, {77});
-  roster(f, 3, 0, 2);
-  call(f, 3, 1);
-  const auto whole = f.whole();
-  for (std::size_t cut = 0; cut < whole.size(); ++cut) {
-    std::vector<std::uint8_t> part(whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(cut));
+  add_instance(f, 3);
+  add_list(f, 0, {77});
+  add_list_change(f, 3, 0, 2);
+  add_request(f, 3, 1);
+  const auto complete = f.bytes();
+  for (std::size_t cut = 0; cut < complete.size(); ++cut) {
+    std::vector<std::uint8_t> part(complete.begin(), complete.begin() + static_cast<std::ptrdiff_t>(cut));
     const auto length = static_cast<std::uint32_t>(cut);
     if (cut >= 4) std::memcpy(part.data(), &length, 4);
     WireHost host;
@@ -202,10 +205,10 @@
   }
 }
 
-TEST(Wire, NonsenseIsRefusedWithAMessage) {
+TEST(Wire, InvalidRecordsAreRejected) {
   const auto bad = [](Frame f) {
     WireHost host;
-    EXPECT_THROW(host.reply_to(f.whole()), MalformedFrame);
+    EXPECT_THROW(host.reply_to(f.bytes()), MalformedFrame);
   };
   bad(Frame{}.record(99).put(std::uint16_t{1}));
   bad(Frame{}.record(12).put(std::uint16_t{1}).put(std::uint64_t{1}));
@@ -218,48 +221,48 @@
   EXPECT_THROW(frame_length(huge), MalformedFrame);
 }
 
-TEST(Wire, AnUnreadableSettingIsReportedByFault) {
+TEST(Wire, InvalidSettingIsReportedToTheSimulator) {
   WireHost host;
   Frame f;
-  provision(f, 1, "balancers=three\n");
-  const auto reply = host.reply_to(f.whole());
+  add_instance(f, 1, "balancers=three\n");
+  const auto reply = host.reply_to(f.bytes());
   ASSERT_GT(reply.size(), 13U);
   EXPECT_EQ(reply[8], 10);
   EXPECT_NE(std::string(reply.begin(), reply.end()).find("balancers"), std::string::npos);
 }
 
-TEST(Wire, AMegabyteBatchIsTaken) {
+TEST(Wire, MegabyteBatchIsAccepted) {
   WireHost host;
   Frame f;
-  provision(f, 1);
-  list(f, 0, {1, 2, 3});
-  roster(f, 1, 0, 2);
-  for (std::uint64_t id = 1; id <= 25'000; ++id) call(f, 1, id);
-  const auto batch = f.whole();
+  add_instance(f, 1);
+  add_list(f, 0, {1, 2, 3});
+  add_list_change(f, 1, 0, 2);
+  for (std::uint64_t id = 1; id <= 25'000; ++id) add_request(f, 1, id);
+  const auto batch = f.bytes();
   ASSERT_GT(batch.size(), 1'000'000U);
-  EXPECT_FALSE(sends(host.reply_to(batch)).empty());
+  EXPECT_FALSE(engines_of_sends(host.reply_to(batch)).empty());
 }
 
 // A peer's message: an engine's mark, then threads in three bits and memory in five.
-TEST(Wire, PeersAreToldAndHeardWhateverTheirBytes) {
+TEST(Wire, GossipIsSentAndArbitraryGossipIsAccepted) {
   WireHost host;
   const std::string text = std::string(boot) +
                            "permissions.may_tell=true\nfamily_info.on_shortage=overcommit\n"
                            "family_info.grants=true\nprices.peer=0.01\n";
   Frame f;
-  list(provision(f, 1, text), 0, {70001, 9});
-  roster(f, 1, 0, 2);
-  host.reply_to(f.whole());
+  add_list(add_instance(f, 1, text), 0, {70001, 9});
+  add_list_change(f, 1, 0, 2);
+  host.reply_to(f.bytes());
   for (std::size_t length = 0; length <= 300; ++length) {
     Frame g;
     g.record(5).put(std::uint16_t{1}).put(std::uint16_t{0}).put(static_cast<std::uint16_t>(length));
     for (std::size_t i = 0; i < length; ++i) g.put(static_cast<std::uint8_t>(i * 7));
-    EXPECT_TRUE(sends(host.reply_to(g.whole(2'000'000'000 + length))).empty());
+    EXPECT_TRUE(engines_of_sends(host.reply_to(g.bytes(2'000'000'000 + length))).empty());
   }
   Frame h;
-  call(h, 1, 7);
-  const auto reply = host.reply_to(h.whole(9'000'000'000));
-  const auto engine = sends(reply);
+  add_request(h, 1, 7);
+  const auto reply = host.reply_to(h.bytes(9'000'000'000));
+  const auto engine = engines_of_sends(reply);
   ASSERT_EQ(engine.size(), 1U);
   const std::vector<std::uint8_t> message{static_cast<std::uint8_t>(engine[0] & 255U),
                                           static_cast<std::uint8_t>(engine[0] >> 8U & 255U), 1U << 5U | 2U};
@@ -267,7 +270,7 @@
   EXPECT_NE(found, reply.end());
 }
 
-TEST(SettingsParser, ReadsWhatItKnowsAndSkipsTheRest) {
+TEST(SettingsParser, SkipsUnknownKeys) {
   const auto parsed = config::parse_settings(boot);
   ASSERT_TRUE(std::holds_alternative<config::ParsedSettings>(parsed));
   const Settings& s = std::get<config::ParsedSettings>(parsed).settings;
@@ -279,7 +282,7 @@
   EXPECT_FALSE(s.classes[0].allowed_kinds.has_value());
 }
 
-TEST(SettingsParser, SaysWhatItCannotRead) {
+TEST(SettingsParser, RejectsInvalidValues) {
   for (const auto* text :
        {"classes.count=1\nclasses.0.repeat=perhaps\n", "permissions.cancel=maybe\n", "no equals\n",
         "rules.cold_ns=-5\n", "classes.count=99999999\n", "balancers=nan\n"}) {
