--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -1,11 +1,10 @@
-// Settings: whatever the text, settings or one fault that names a line.
+/// Configurations: any text is a configuration, or one fault with a text.
 #include "config/manager_config.hpp"
 #include "target.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace paddlestand;
   const auto parsed = config::parse_manager_config(fuzz::text_of(data, size), "fuzz.xml");
-  if (const auto* fault = std::get_if<config::Fault>(&parsed))
-    if (fault->text().empty()) fuzz::fail("a fault without a text");
+  fuzz::check_error_has_text<config::Fault>(parsed);
   return 0;
 }
--- a/fuzz/engine_list.cpp
+++ b/fuzz/engine_list.cpp
@@ -1,4 +1,4 @@
-// Engine lists: whatever the file, a list or one fault.
+/// Engine lists: any file is a list, or one fault with a text.
 #include "config/manager_config.hpp"
 #include "target.hpp"
 
@@ -9,7 +9,6 @@
   of.kinds = {{"std", 0}};
   of.core.module.kinds = {{8, 16384}};
   const auto read = config::read_engine_list(fuzz::as_file(fuzz::text_of(data, size)), of);
-  if (const auto* fault = std::get_if<config::Fault>(&read))
-    if (fault->text().empty()) fuzz::fail("a fault without a text");
+  fuzz::check_error_has_text<config::Fault>(read);
   return 0;
 }
--- a/fuzz/target.hpp
+++ b/fuzz/target.hpp
@@ -1,4 +1,4 @@
-// What the fuzz targets share.
+/// What the fuzz targets share.
 #pragma once
 
 #include <unistd.h>
@@ -9,6 +9,7 @@
 #include <fstream>
 #include <string>
 #include <string_view>
+#include <variant>
 
 namespace paddlestand::fuzz {
 
@@ -21,7 +22,7 @@
   return {reinterpret_cast<const char*>(data), size};
 }
 
-// For readers that take a path. One file for each process, written anew each time.
+/// For readers that take a path: one file for each process, overwritten each time.
 inline std::string as_file(std::string_view text) {
   static const std::string path = [] {
     const char* folder = std::getenv("TMPDIR");
@@ -31,24 +32,56 @@
   return path;
 }
 
-// Cuts what comes into pieces: lengths follow from the seed, and are often 1.
-class Pieces {
+/// Input in chunks, as a socket may deliver it.
+class Chunks {
  public:
-  Pieces(std::string_view bytes, std::uint32_t seed) : left_(bytes), state_(seed * 2654435761U + 1) {}
-  [[nodiscard]] bool more() const { return !left_.empty(); }
+  /// All bytes at once, even if there are none.
+  static Chunks unsplit(std::string_view bytes) { return {bytes, 0, false}; }
+  /// Lengths follow from the seed, and are often 1.
+  static Chunks split(std::string_view bytes, std::uint32_t seed) {
+    return {bytes, seed * 2654435761U + 1, true};
+  }
+
+  [[nodiscard]] bool is_split() const { return is_split_; }
+  [[nodiscard]] bool has_next() const { return is_split_ ? !remaining_.empty() : !has_begun_; }
   std::string_view next() {
-    state_ = state_ * 1664525U + 1013904223U;
-    const std::size_t size = std::size_t{1} << ((state_ >> 24U) % 8U);
-    const std::string_view piece = left_.substr(0, size);
-    left_.remove_prefix(piece.size());
-    return piece;
+    has_begun_ = true;
+    if (!is_split_) return remaining_;
+    random_state_ = random_state_ * 1664525U + 1013904223U;
+    const std::size_t size = std::size_t{1} << ((random_state_ >> 24U) % 8U);
+    const std::string_view chunk = remaining_.substr(0, size);
+    remaining_.remove_prefix(chunk.size());
+    return chunk;
   }
 
  private:
-  std::string_view left_;
-  std::uint32_t state_;
+  Chunks(std::string_view bytes, std::uint32_t random_state, bool is_split)
+      : remaining_(bytes), random_state_(random_state), is_split_(is_split) {}
+
+  std::string_view remaining_;
+  std::uint32_t random_state_;
+  bool is_split_;
+  bool has_begun_ = false;
 };
 
+/// Fails where `run`, called with Chunks and the first byte, returns another text for the input in chunks
+/// than for all of it at once. The first byte is the seed.
+template <typename Run>
+int check_splits(const std::uint8_t* data, std::size_t size, Run run, const char* failure) {
+  if (size < 1) return 0;
+  const std::uint8_t seed = data[0];
+  const std::string_view bytes = text_of(data + 1, size - 1);
+  if (run(Chunks::unsplit(bytes), seed) != run(Chunks::split(bytes, seed), seed)) fail(failure);
+  return 0;
+}
+
+/// Fails where what a reader returned is an error of type `Error` without a text.
+template <typename Error, typename Result>
+void check_error_has_text(const Result& result) {
+  const auto* error = std::get_if<Error>(&result);
+  if (error != nullptr && error->text().empty()) fail("an error without a text");
+}
+
 }  // namespace paddlestand::fuzz
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
