--- a/bench/manager_bench.cpp
+++ b/bench/manager_bench.cpp
@@ -1,5 +1,5 @@
-// What the manager costs: throughput and latency through it, straight to an engine, and through a bare byte
-// relay in its place, in one run, so that ratios hold on a noisy machine. See docs/bench.md.
+/// What the manager costs: throughput and latency through it, straight to an engine, and through a plain byte
+/// relay in its place, in one run, so that ratios hold on a noisy machine. See docs/bench.md.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -38,14 +38,15 @@
 
 tcp::endpoint loopback(std::uint16_t port) { return {asio::ip::address_v4::loopback(), port}; }
 
-void say_port(std::uint16_t port) {
+void print_port(std::uint16_t port) {
   std::printf("%u\n", port);
   std::fflush(stdout);
 }
 
 // ---- An engine that answers at once, from a buffer ----
 
-std::string canned(std::size_t bytes) {
+/// The bytes of a complete answer with so many bytes of rows.
+std::string make_answer(std::size_t bytes) {
   std::string out;
   const pg::Column column{"v", 25, -1};
   pg::put_row_description(out, {&column, 1});
@@ -57,7 +58,7 @@
   return out;
 }
 
-asio::awaitable<void> engine_seat(tcp::socket socket, const std::map<std::size_t, std::string>& answers) {
+asio::awaitable<void> serve_client(tcp::socket socket, const std::map<std::size_t, std::string>& answers) {
   pg::FrameReader frames(1U << 20U);
   std::vector<char> buffer(16384);
   bool startup = true;
@@ -93,13 +94,13 @@
 int engine() {
   asio::io_context io(1);
   tcp::acceptor acceptor(io, loopback(0));
-  say_port(acceptor.local_endpoint().port());
-  const std::map<std::size_t, std::string> answers{{0, canned(16)}, {1, canned(10'000'000)}};
+  print_port(acceptor.local_endpoint().port());
+  const std::map<std::size_t, std::string> answers{{0, make_answer(16)}, {1, make_answer(10'000'000)}};
   asio::co_spawn(
       io,
       [&]() -> asio::awaitable<void> {
         for (;;)
-          asio::co_spawn(io, engine_seat(co_await acceptor.async_accept(asio::use_awaitable), answers),
+          asio::co_spawn(io, serve_client(co_await acceptor.async_accept(asio::use_awaitable), answers),
                          asio::detached);
       },
       asio::detached);
@@ -125,7 +126,7 @@
 int relay(std::uint16_t port) {
   asio::io_context io(1);
   tcp::acceptor acceptor(io, loopback(0));
-  say_port(acceptor.local_endpoint().port());
+  print_port(acceptor.local_endpoint().port());
   asio::co_spawn(
       io,
       [&]() -> asio::awaitable<void> {
@@ -146,96 +147,131 @@
 
 // ---- Clients in closed loops ----
 
-struct Measured {
-  double per_s = 0, p50_us = 0, p99_us = 0, refused_p50_us = 0, mb_per_s = 0;
-  std::size_t refused = 0;
+struct LoadResult {
+  double per_s = 0;
+  double p50_us = 0;
+  double p99_us = 0;
+  std::size_t rejected = 0;
+  double rejected_p50_us = 0;
 };
 
+/// Sorts `values`. Zero where there are none.
+double quantile(std::vector<double>& values, double share) {
+  if (values.empty()) return 0;
+  std::sort(values.begin(), values.end());
+  return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
+}
+
+const std::vector<std::pair<std::string, std::string>> session_parameters{{"user", "bench"},
+                                                                          {"database", "bench"}};
+
+/// Clients that each send a query as soon as the last one is answered. All begin together.
 class Load {
  public:
   Load(std::uint16_t port, int clients, std::string text, std::chrono::milliseconds length)
       : port_(port), clients_(clients), text_(std::move(text)), length_(length) {}
 
-  Measured run() {
-    for (int i = 0; i < clients_; ++i) asio::co_spawn(io_, client(), asio::detached);
+  /// Blocks until the load has ended. To be called once.
+  LoadResult run() {
+    for (int i = 0; i < clients_; ++i) asio::co_spawn(io_, run_client(), asio::detached);
     io_.run();
-    Measured out;
-    const auto quantile = [](std::vector<double>& all, double q) {
-      if (all.empty()) return 0.0;
-      std::sort(all.begin(), all.end());
-      return all[static_cast<std::size_t>(q * static_cast<double>(all.size() - 1))];
-    };
-    const double span = std::chrono::duration<double>(last_ - first_).count();
-    out.per_s = static_cast<double>(took_.size() + refused_.size()) / span;
-    out.mb_per_s = static_cast<double>(bytes_) / span / 1e6;
-    out.p50_us = quantile(took_, 0.5);
-    out.p99_us = quantile(took_, 0.99);
-    out.refused = refused_.size();
-    out.refused_p50_us = quantile(refused_, 0.5);
-    return out;
+    LoadResult result;
+    const double span_s = std::chrono::duration<double>(last_answer_ - start_).count();
+    result.per_s = static_cast<double>(served_us_.size() + rejected_us_.size()) / span_s;
+    result.p50_us = quantile(served_us_, 0.5);
+    result.p99_us = quantile(served_us_, 0.99);
+    result.rejected = rejected_us_.size();
+    result.rejected_p50_us = quantile(rejected_us_, 0.5);
+    return result;
   }
 
  private:
-  asio::awaitable<void> client() {
+  enum class Answer : std::uint8_t { served, rejected, connection_lost };
+
+  struct Client {
+    explicit Client(asio::io_context& io) : socket(io) {}
+
+    tcp::socket socket;
+    pg::FrameReader frames{16U << 20U};
+    std::vector<char> buffer = std::vector<char>(64 * 1024);
+  };
+
+  asio::awaitable<void> run_client() {
+    Client client(io_);
     error_code error;
-    tcp::socket socket(io_);
-    co_await socket.async_connect(loopback(port_), asio::redirect_error(asio::use_awaitable, error));
+    co_await client.socket.async_connect(loopback(port_), asio::redirect_error(asio::use_awaitable, error));
     if (error) co_return;
-    socket.set_option(tcp::no_delay(true));
-    std::string out;
-    const std::vector<std::pair<std::string, std::string>> who{{"user", "bench"}, {"database", "bench"}};
-    pg::put_startup(out, who);
-    pg::FrameReader frames(16U << 20U);
-    std::vector<char> buffer(64 * 1024);
-    bool first = true;
-    for (;;) {
-      const auto from = steady_clock::now();
-      co_await asio::async_write(socket, asio::buffer(out), asio::redirect_error(asio::use_awaitable, error));
-      bool ready = false, refused = false;
-      while (!ready && !error) {
-        const std::size_t got = co_await socket.async_read_some(
-            asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, error));
-        if (error) co_return;
-        if (!first) bytes_ += got;
-        frames.feed({buffer.data(), got});
-        while (const auto frame = frames.next()) {
-          ready |= frame->type == 'Z';
-          refused |= frame->type == 'E';
-        }
-      }
-      if (error) co_return;
-      const auto now = steady_clock::now();
-      if (first) {
-        // All begin together once all are in.
-        if (++in_ == clients_) {
-          first_ = now;
-          end_ = now + length_;
-          gate_.cancel();
-        } else {
-          co_await gate_.async_wait(asio::redirect_error(asio::use_awaitable, error));
-        }
-        out.clear();
-        pg::put_query(out, text_);
-        first = false;
-        continue;
+    client.socket.set_option(tcp::no_delay(true));
+    std::string bytes;
+    pg::put_startup(bytes, session_parameters);
+    const Answer startup = co_await exchange(client, bytes);
+    if (startup == Answer::connection_lost) co_return;
+    co_await wait_for_all();
+    bytes.clear();
+    pg::put_query(bytes, text_);
+    do {
+      const auto sent_at = steady_clock::now();
+      const Answer answer = co_await exchange(client, bytes);
+      if (answer == Answer::connection_lost) co_return;
+      record(answer, sent_at);
+    } while (last_answer_ < end_);
+  }
+
+  asio::awaitable<void> wait_for_all() {
+    ++ready_clients_;
+    if (ready_clients_ == clients_) {
+      start_ = steady_clock::now();
+      end_ = start_ + length_;
+      all_ready_.cancel();
+    } else {
+      error_code ignored;
+      co_await all_ready_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    }
+  }
+
+  /// Sends a message and reads up to ReadyForQuery.
+  asio::awaitable<Answer> exchange(Client& client, const std::string& bytes) {
+    error_code error;
+    co_await asio::async_write(client.socket, asio::buffer(bytes),
+                               asio::redirect_error(asio::use_awaitable, error));
+    Answer answer = Answer::served;
+    bool is_ready = false;
+    while (!is_ready && !error) {
+      const std::size_t received = co_await client.socket.async_read_some(
+          asio::buffer(client.buffer), asio::redirect_error(asio::use_awaitable, error));
+      if (error) break;
+      client.frames.feed({client.buffer.data(), received});
+      while (const auto frame = client.frames.next()) {
+        if (frame->type == 'Z') is_ready = true;
+        if (frame->type == 'E') answer = Answer::rejected;
       }
-      last_ = std::max(last_, now);
-      (refused ? refused_ : took_).push_back(std::chrono::duration<double, std::micro>(now - from).count());
-      if (now >= end_) co_return;
     }
+    co_return error ? Answer::connection_lost : answer;
+  }
+
+  void record(Answer answer, steady_clock::time_point sent_at) {
+    const auto now = steady_clock::now();
+    const double elapsed_us = std::chrono::duration<double, std::micro>(now - sent_at).count();
+    last_answer_ = std::max(last_answer_, now);
+    std::vector<double>& times = answer == Answer::rejected ? rejected_us_ : served_us_;
+    times.push_back(elapsed_us);
   }
 
   asio::io_context io_{1};
-  asio::steady_timer gate_{io_, steady_clock::time_point::max()};
+  asio::steady_timer all_ready_{io_, steady_clock::time_point::max()};  // cancelled when all are
   std::uint16_t port_;
-  int clients_, in_ = 0;
+  int clients_;
+  int ready_clients_ = 0;
   std::string text_;
   std::chrono::milliseconds length_;
-  steady_clock::time_point first_, last_, end_;
-  std::vector<double> took_, refused_;
-  std::size_t bytes_ = 0;
+  steady_clock::time_point start_;
+  steady_clock::time_point last_answer_;
+  steady_clock::time_point end_;
+  std::vector<double> served_us_;
+  std::vector<double> rejected_us_;
 };
 
+/// A child process that ends with its object.
 class Child {
  public:
   Child(const std::string& program, const std::vector<std::string>& args, bool tells_port)
@@ -305,81 +341,103 @@
               static_cast<double>(before) / 1024);
 }
 
-int measure(const std::string& manager_program, int milliseconds) {
-  const std::string self = std::filesystem::read_symlink("/proc/self/exe").string();
-  std::string folder = (std::filesystem::temp_directory_path() / "paddlestand-bench-XXXXXX").string();
-  if (mkdtemp(folder.data()) == nullptr) return 1;
+/// Allows the process as many file descriptors as its hard limit does.
+void raise_descriptor_limit() {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
-  {
-    const Child engine(self, {"engine"}, true);
-    const Child relay(self, {"relay", std::to_string(engine.port())}, true);
-    // Cores enough that the module binds nothing: what is measured is the way, not the bound.
-    const ManagerProcess manager(manager_program, folder, engine.port(), "4000");
-    std::printf("%-6s %7s | %9s %8s %8s | %9s %8s %8s | %9s %8s %8s | %7s %9s\n", "answer", "clients",
-                "straight/s", "p50 us", "p99 us", "relay/s", "p50 us", "p99 us", "manager/s", "p50 us",
-                "p99 us", "of relay", "added p50");
-    for (const char* what : {"small", "big"}) {
-      for (const int clients : {1, 16, 64, 512}) {
-        if (what[0] == 'b' && clients > 16) continue;
-        const std::string text =
-            std::string("select '") + what + (what[0] == 'b' ? "' /*cost_ms='50'*/" : "' /*cost_ms='1'*/");
-        const auto run = [&](std::uint16_t port) {
-          return Load(port, clients, text, std::chrono::milliseconds(milliseconds)).run();
-        };
-        const Measured a = run(engine.port()), b = run(relay.port()), c = run(manager.port);
-        std::printf("%-6s %7d | %9.0f %8.0f %8.0f | %9.0f %8.0f %8.0f | %9.0f %8.0f %8.0f | %7.2f %9.2f\n",
-                    what, clients, a.per_s, a.p50_us, a.p99_us, b.per_s, b.p50_us, b.p99_us, c.per_s,
-                    c.p50_us, c.p99_us, c.per_s / b.per_s,
-                    (c.p50_us - a.p50_us) / std::max(1.0, b.p50_us - a.p50_us));
-        std::fflush(stdout);
-        if (c.refused > 0) std::printf("       %zu were refused\n", c.refused);
-      }
-    }
-    idle_clients(manager, 2000);
-  }
-  {
-    // One core's worth of engine, asked for ten times as much as it is said to do.
-    const Child engine(self, {"engine"}, true);
-    const ManagerProcess manager(manager_program, folder, engine.port(), "1");
-    const Measured m =
-        Load(manager.port, 64, "select 'small' /*cost_ms='2000'*/", std::chrono::milliseconds(milliseconds))
-            .run();
-    std::printf("refusals under overload: %zu, p50 %.0f us\n", m.refused, m.refused_p50_us);
-  }
+}
+
+void print_header() {
+  std::printf("%-6s %7s | %9s %8s %8s | %9s %8s %8s | %9s %8s %8s | %7s %9s\n", "answer", "clients",
+              "straight/s", "p50 us", "p99 us", "relay/s", "p50 us", "p99 us", "manager/s", "p50 us",
+              "p99 us", "of relay", "added p50");
+}
+
+struct Ports {
+  std::uint16_t engine = 0;
+  std::uint16_t relay = 0;
+  std::uint16_t manager = 0;
+};
+
+void measure_row(const Ports& ports, const char* answer, const char* statement, int clients,
+                 std::chrono::milliseconds length) {
+  const LoadResult direct = Load(ports.engine, clients, statement, length).run();
+  const LoadResult relay = Load(ports.relay, clients, statement, length).run();
+  const LoadResult manager = Load(ports.manager, clients, statement, length).run();
+  std::printf("%-6s %7d | %9.0f %8.0f %8.0f | %9.0f %8.0f %8.0f | %9.0f %8.0f %8.0f | %7.2f %9.2f\n", answer,
+              clients, direct.per_s, direct.p50_us, direct.p99_us, relay.per_s, relay.p50_us, relay.p99_us,
+              manager.per_s, manager.p50_us, manager.p99_us, manager.per_s / relay.per_s,
+              (manager.p50_us - direct.p50_us) / std::max(1.0, relay.p50_us - direct.p50_us));
+  std::fflush(stdout);
+  if (manager.rejected > 0) std::printf("       %zu were refused\n", manager.rejected);
+}
+
+void measure_overhead(const std::string& self, const std::string& manager_program, const std::string& folder,
+                      std::chrono::milliseconds length) {
+  const Child engine(self, {"engine"}, true);
+  const Child relay(self, {"relay", std::to_string(engine.port())}, true);
+  // So many cores that admission limits nothing: the path is measured, not the limit.
+  const ManagerProcess manager(manager_program, folder, engine.port(), "4000");
+  const Ports ports{engine.port(), relay.port(), manager.port};
+  print_header();
+  for (const int clients : {1, 16, 64, 512})
+    measure_row(ports, "small", "select 'small' /*cost_ms='1'*/", clients, length);
+  for (const int clients : {1, 16})
+    measure_row(ports, "big", "select 'big' /*cost_ms='50'*/", clients, length);
+  idle_clients(manager, 2000);
+}
+
+/// One core's worth of engine, under ten times the load that it is configured for.
+void measure_rejections(const std::string& self, const std::string& manager_program,
+                        const std::string& folder, std::chrono::milliseconds length) {
+  const Child engine(self, {"engine"}, true);
+  const ManagerProcess manager(manager_program, folder, engine.port(), "1");
+  const LoadResult result = Load(manager.port, 64, "select 'small' /*cost_ms='2000'*/", length).run();
+  std::printf("refusals under overload: %zu, p50 %.0f us\n", result.rejected, result.rejected_p50_us);
+}
+
+int measure(const std::string& manager_program, std::chrono::milliseconds length) {
+  const std::string self = std::filesystem::read_symlink("/proc/self/exe").string();
+  std::string folder = (std::filesystem::temp_directory_path() / "paddlestand-bench-XXXXXX").string();
+  if (mkdtemp(folder.data()) == nullptr) return 1;
+  raise_descriptor_limit();
+  measure_overhead(self, manager_program, folder, length);
+  measure_rejections(self, manager_program, folder, length);
   std::filesystem::remove_all(folder);
   return 0;
 }
 
+void load(std::uint16_t port, int clients, std::chrono::milliseconds length) {
+  const LoadResult result = Load(port, clients, "select 'small' /*cost_ms='1'*/", length).run();
+  std::printf("%.0f/s, p50 %.0f us, p99 %.0f us, %zu refused\n", result.per_s, result.p50_us, result.p99_us,
+              result.rejected);
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"What the workload manager costs, against a bare relay"};
   app.require_subcommand(1);
-  int result = 0, milliseconds = 2000;
+  int result = 0;
+  int milliseconds = 2000;
+  int clients = 64;
   std::uint16_t port = 0;
   std::string manager;
   app.add_subcommand("engine", "An engine that answers at once")->callback([&] { result = engine(); });
-  auto* r = app.add_subcommand("relay", "A byte relay");
-  r->add_option("port", port)->required();
-  r->callback([&] { result = relay(port); });
-  int clients = 64;
-  auto* l = app.add_subcommand("load", "Closed loops against one port, for a profile");
-  l->add_option("port", port)->required();
-  l->add_option("--clients", clients);
-  l->add_option("--milliseconds", milliseconds);
-  l->callback([&] {
-    const Measured one =
-        Load(port, clients, "select 'small' /*cost_ms='1'*/", std::chrono::milliseconds(milliseconds)).run();
-    std::printf("%.0f/s, p50 %.0f us, p99 %.0f us, %zu refused\n", one.per_s, one.p50_us, one.p99_us,
-                one.refused);
-  });
-  auto* m = app.add_subcommand("run", "Measure all, and print a table");
-  m->add_option("--manager", manager, "The program paddlestand")->required();
-  m->add_option("--milliseconds", milliseconds, "For each cell");
-  m->callback([&] { result = measure(manager, milliseconds); });
+  auto* relay_command = app.add_subcommand("relay", "A byte relay");
+  relay_command->add_option("port", port)->required();
+  relay_command->callback([&] { result = relay(port); });
+  auto* load_command = app.add_subcommand("load", "Closed loops against one port, for a profile");
+  load_command->add_option("port", port)->required();
+  load_command->add_option("--clients", clients);
+  load_command->add_option("--milliseconds", milliseconds);
+  load_command->callback([&] { load(port, clients, std::chrono::milliseconds(milliseconds)); });
+  auto* run_command = app.add_subcommand("run", "Measure all, and print a table");
+  run_command->add_option("--manager", manager, "The program paddlestand")->required();
+  run_command->add_option("--milliseconds", milliseconds, "For each cell");
+  run_command->callback([&] { result = measure(manager, std::chrono::milliseconds(milliseconds)); });
   CLI11_PARSE(app, argc, argv);
   return result;
 }
