--- a/bench/load_generator.hpp
+++ b/bench/load_generator.hpp
@@ -74,7 +74,7 @@
 
     tcp::socket socket;
     pg::FrameReader frames{16U << 20U};
-    std::vector<char> buffer = std::vector<char>(64 * 1024);
+    std::vector<char> buffer = std::vector<char>(std::size_t{64} * 1024);
   };
 
   asio::awaitable<void> run_client() {
--- a/bench/manager_bench.cpp
+++ b/bench/manager_bench.cpp
@@ -5,6 +5,7 @@
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
+#include <array>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/io_context.hpp>
@@ -82,8 +83,9 @@
         }
       }
     }
-    if (!out.empty())
+    if (!out.empty()) {
       co_await asio::async_write(socket, asio::buffer(out), asio::redirect_error(asio::use_awaitable, error));
+    }
   }
 }
 
@@ -95,9 +97,10 @@
   asio::co_spawn(
       io,
       [&]() -> asio::awaitable<void> {
-        for (;;)
+        for (;;) {
           asio::co_spawn(io, serve_client(co_await acceptor.async_accept(asio::use_awaitable), answers),
                          asio::detached);
+        }
       },
       asio::detached);
   io.run();
@@ -107,7 +110,7 @@
 // ---- A relay that moves bytes and knows nothing ----
 
 asio::awaitable<void> pump(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to) {
-  std::vector<char> buffer(64 * 1024);
+  std::vector<char> buffer(std::size_t{64} * 1024);
   error_code error;
   while (!error) {
     const std::size_t got = co_await from->async_read_some(asio::buffer(buffer),
@@ -205,7 +208,7 @@
     sockets.emplace_back(io);
     sockets.back().connect(loopback(manager.port));
     asio::write(sockets.back(), asio::buffer(hello));
-    char unused[2048];
+    std::array<char, 2048> unused{};
     sockets.back().read_some(asio::buffer(unused));
   }
   std::printf("%d idle clients: %.1f MB resident in all, %.1f MB before\n", count,
--- a/bench_adapter/wire_host.cpp
+++ b/bench_adapter/wire_host.cpp
@@ -70,7 +70,7 @@
   const auto threads =
       static_cast<std::uint32_t>(std::clamp(entry.threads, 0.0, static_cast<double>(gossip_max_threads)));
   const double memory_units = entry.memory_share * gossip_memory_units;
-  const auto memory =
+  const auto memory =  // NOLINTNEXTLINE(bugprone-incorrect-roundings): it is not negative
       static_cast<std::uint32_t>(std::clamp(memory_units, 0.0, static_cast<double>(gossip_max_memory)) + 0.5);
   bytes.push_back(static_cast<char>(entry.engine & 255U));
   bytes.push_back(static_cast<char>(entry.engine >> 8U & 255U));
--- a/simulation/engine_model/engine_model.cpp
+++ b/simulation/engine_model/engine_model.cpp
@@ -38,7 +38,7 @@
   read_tables(run);
   run.remaining_work = run.total_work;
   arrival_order_.push_back(job.id);
-  jobs_.emplace(job.id, std::move(run));
+  jobs_.emplace(job.id, run);
   reschedule();
   return Admission::accepted;
 }
@@ -205,9 +205,10 @@
 /// Seconds of work on one thread per second, of all cores together.
 double EngineModel::capacity(Seconds now) const {
   double share = 1;
-  if (is_cold(now))
+  if (is_cold(now)) {
     share = shape_.slow_start_capacity_share +
             (1 - shape_.slow_start_capacity_share) * (now - started_) / shape_.slow_start_duration;
+  }
   return shape_.cores * shape_.speed * share / slowdown_;
 }
 
--- a/simulation/explorer/action_recorder.cpp
+++ b/simulation/explorer/action_recorder.cpp
@@ -63,9 +63,10 @@
     const auto other = manager_.queries.find(channel.query);
     if (other == manager_.queries.end()) continue;
     if (other->second.query_class == QueryClass::ordered_by_key &&
-        other->second.ordering_key == observed.ordering_key)
+        other->second.ordering_key == observed.ordering_key) {
       report(Invariant::order, query_text(query) + " is sent at once while " + query_text(channel.query) +
                                    " of its key may run");
+    }
   }
 }
 
@@ -145,9 +146,10 @@
   client.undelivered_bytes += static_cast<std::uint32_t>(action.bytes);
   if (client.undelivered_bytes > model_.scope_->core.client_window + large_part_bytes)
     report(Invariant::bounds, "client " + std::to_string(client_index) + " is owed more than its window");
-  if (client.is_reading)
+  if (client.is_reading) {
     model_.dispatch(manager_index_,
                     core::ClientConsumed{action.session, std::exchange(client.undelivered_bytes, 0)});
+  }
 }
 
 void ActionRecorder::deliver_row(const Row& row, std::size_t client_index) {
@@ -196,9 +198,10 @@
   // It has everything: how it reads matters again with its next query.
   if (client.undelivered_bytes == 0) client.is_reading = true;
   if (action.kind == core::AnswerKind::cancelled && client.is_connected &&
-      client.cancelled_query != action.query)
+      client.cancelled_query != action.query) {
     report(Invariant::own_cancel,
            query_text(action.query) + " is cancelled, and its client asked for another's cancel");
+  }
   // The order of the service: it takes what was pipelined, then writes the answer, which shows whether the
   // connection is broken.
   submit_pipelined_query(client_index);
--- a/simulation/explorer/digest.cpp
+++ b/simulation/explorer/digest.cpp
@@ -41,6 +41,7 @@
 
 void Digest::since(double& time) {
   const double elapsed = std::min(now_ + behind_ + lag_ - time, max_since_s);
+  // NOLINTNEXTLINE(bugprone-incorrect-roundings): it is not negative
   put(static_cast<std::uint64_t>(std::max(elapsed, 0.0) / time_resolution_s + 0.5));
 }
 
@@ -51,6 +52,7 @@
     put(0);
     return;
   }
+  // NOLINTNEXTLINE(bugprone-incorrect-roundings): it is not negative
   put(1 + static_cast<std::uint64_t>(remaining / time_resolution_s + 0.5));
 }
 
--- a/simulation/explorer/history.cpp
+++ b/simulation/explorer/history.cpp
@@ -124,9 +124,10 @@
   std::ostringstream out;
   out << "TEST(FoundHistory, " << name << ") {\n  expect_violation_only_with_defect(\"" << history.scope
       << "\", \"" << history.defect << "\",\n        {\n";
-  for (const Move& move : history.moves)
+  for (const Move& move : history.moves) {
     out << "            {Step::" << identifier_of(move.step) << ", " << int{move.manager} << ", "
         << move.subject << "},\n";
+  }
   out << "        });\n}\n";
   return out.str();
 }
--- a/simulation/explorer/model_apply.cpp
+++ b/simulation/explorer/model_apply.cpp
@@ -222,9 +222,10 @@
   const QueryId target = *channel.pending_cancel;
   channel.pending_cancel.reset();
   if (channel.transmission != Transmission::complete) return;
-  if (channel.query != target)
+  if (channel.query != target) {
     report_violation(Invariant::own_cancel, "a cancel for query " + std::to_string(target) +
                                                 " strikes query " + std::to_string(channel.query));
+  }
   end_answer(manager, channel, Ending::cancelled);
 }
 
--- a/simulation/explorer/model_entities.cpp
+++ b/simulation/explorer/model_entities.cpp
@@ -17,6 +17,7 @@
 }
 
 EngineSideChannel* ManagerState::find_channel(ChannelId id) {
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): this object is not const
   return const_cast<EngineSideChannel*>(std::as_const(*this).find_channel(id));
 }
 
--- a/simulation/explorer/model_moves.cpp
+++ b/simulation/explorer/model_moves.cpp
@@ -15,7 +15,8 @@
 
 std::vector<Move> ModelState::possible_moves() {
   std::vector<Move> moves;
-  for (std::uint8_t manager = 0; manager < managers_.size(); ++manager) {
+  const auto managers = static_cast<std::uint8_t>(managers_.size());
+  for (std::uint8_t manager = 0; manager < managers; ++manager) {
     add_client_moves(manager, moves);
     add_channel_moves(manager, moves);
   }
@@ -34,7 +35,8 @@
 
 std::optional<Move> ModelState::fault_free_move() {
   bool holds_anything = false;
-  for (std::uint8_t manager = 0; manager < managers_.size(); ++manager) {
+  const auto managers = static_cast<std::uint8_t>(managers_.size());
+  for (std::uint8_t manager = 0; manager < managers; ++manager) {
     const core::Counts counts = managers_[manager].dispatcher.counts();
     holds_anything = holds_anything || counts.queries_open + counts.attempts_out > 0 ||
                      counts.channels > counts.channels_probing;
--- a/simulation/scenario/client_connection.cpp
+++ b/simulation/scenario/client_connection.cpp
@@ -1,5 +1,6 @@
 #include "client_connection.hpp"
 
+#include <array>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
@@ -105,7 +106,7 @@
   pg::put_cancel(bytes, {process, secret});
   co_await asio::async_write(socket, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
-  char unused[8];
+  std::array<char, 8> unused{};
   co_await socket.async_read_some(asio::buffer(unused), asio::redirect_error(asio::use_awaitable, error));
 }
 
--- a/simulation/scenario/client_connection.hpp
+++ b/simulation/scenario/client_connection.hpp
@@ -14,7 +14,7 @@
 
 struct Clients::Connection {
   static constexpr std::size_t max_message_bytes = 64U << 20U;
-  static constexpr std::size_t read_buffer_bytes = 16 * 1024;
+  static constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
 
   Connection(boost::asio::io_context& io, std::uint32_t manager_index)
       : socket(io), frames(max_message_bytes), buffer(read_buffer_bytes), manager(manager_index) {}
--- a/simulation/scenario/scenario.cpp
+++ b/simulation/scenario/scenario.cpp
@@ -264,9 +264,10 @@
   read_clients(*root.child("clients"), day);
   for (const auto& element : root.children("trouble")) {
     const DayFault& fault = day.faults.emplace_back(read_fault(element));
-    if (!fault.class_name.empty() && !has_class(day, fault.class_name))
+    if (!fault.class_name.empty() && !has_class(day, fault.class_name)) {
       return config::Fault{path, element.line(),
                            "a trouble names the unknown class '" + fault.class_name + "'"};
+    }
     if (fault.at >= day.length)
       return config::Fault{path, element.line(), "a trouble begins behind the day's end"};
   }
