--- a/simulation/explorer/search.cpp
+++ b/simulation/explorer/search.cpp
@@ -117,9 +117,10 @@
     const std::vector<Move> moves = state.possible_moves();
     for (const Move& move : moves) {
       const bool is_last = &move == &moves.back();
-      // The state is moved from with its last move alone. NOLINTNEXTLINE(bugprone-use-after-move)
-      auto target =
-          is_last ? std::make_unique<ModelState>(std::move(state)) : std::make_unique<ModelState>(state);
+      // The state is moved from with its last move alone.
+      auto target = is_last
+                        ? std::make_unique<ModelState>(std::move(state))  // NOLINT(bugprone-use-after-move)
+                        : std::make_unique<ModelState>(state);
       Transition transition = make_transition(move, std::move(target));
       transition.is_fault_free = fault_free && *fault_free == move;
       expansion.transitions.push_back(std::move(transition));
