--- a/simulation/explorer/digest.hpp
+++ b/simulation/explorer/digest.hpp
@@ -30,7 +30,8 @@
   // Histories are shorter than the counting windows: only that an event is counted matters, not when.
   void counted(double&) override {}
   void name(Name kind, std::uint64_t& id) override;
-  // Random numbers only break ties between equal engines; docs/architecture/exploration.md says what that loses.
+  // Random numbers only break ties between equal engines; docs/architecture/exploration.md says what that
+  // loses.
   void generator(std::mt19937_64&) override {}
   std::size_t table(std::size_t entries, bool in_order) override;
   void entry() override;
