--- a/simulation/explorer/action_recorder.cpp
+++ b/simulation/explorer/action_recorder.cpp
@@ -211,7 +211,7 @@
 void ActionRecorder::submit_pipelined_query(std::uint32_t client_index) {
   const Client& client = manager_.clients[client_index];
   if (!model_.scope_->pipelined || !client.is_connected || client.active_query != 0) return;
-  if (!model_.next_query_id(manager_index_, client_index)) return;
+  if (!model_.has_next_query(manager_index_, client_index)) return;
   if (client.undelivered_bytes > model_.scope_->core.client_window) return;
   model_.submit_query(manager_index_, client_index);
 }
--- a/simulation/explorer/model_moves.cpp
+++ b/simulation/explorer/model_moves.cpp
@@ -67,7 +67,7 @@
     }
     const bool has_query = client.active_query != 0;
     const bool is_owed_bytes = client.undelivered_bytes > 0;
-    const bool may_cancel_late = client.queries_submitted > 0 && next_query_id(manager, index).has_value();
+    const bool may_cancel_late = client.queries_submitted > 0 && has_next_query(manager, index);
     if (may_submit(manager, index)) add(Step::submit_query);
     if (has_query || may_cancel_late) add(Step::cancel_query);
     if (has_query || is_owed_bytes) add(Step::disconnect_client);
@@ -81,7 +81,7 @@
   const std::vector<Client>& clients = managers_[manager].clients;
   const Client& client = clients[index];
   if (client.active_query != 0 || client.undelivered_bytes > 0) return false;
-  if (!next_query_id(manager, index)) return false;
+  if (!has_next_query(manager, index)) return false;
   if (scope_->endless || client.queries_submitted > 0) return true;
   // Of equal first queries of different clients, the one of the lowest index comes first: the other orders
   // are the same history under other names.
--- a/simulation/explorer/model_state.cpp
+++ b/simulation/explorer/model_state.cpp
@@ -76,6 +76,7 @@
   return query;
 }
 
+// Zero: the client has no such query.
 QueryId ModelState::query_id(std::uint32_t client, std::uint32_t nth) const {
   if (scope_->endless) return std::uint64_t{nth} * 256 + client + 1;
   for (std::size_t i = 0; i < scope_->queries.size(); ++i) {
@@ -84,10 +85,8 @@
   return 0;
 }
 
-std::optional<QueryId> ModelState::next_query_id(std::uint32_t manager, std::uint32_t client) const {
-  const QueryId id = query_id(client, managers_[manager].clients[client].queries_submitted);
-  if (id == 0) return std::nullopt;
-  return id;
+bool ModelState::has_next_query(std::uint32_t manager, std::uint32_t client) const {
+  return scope_->endless || query_id(client, managers_[manager].clients[client].queries_submitted) != 0;
 }
 
 bool ModelState::spends_fault(const Move& move) const {
--- a/simulation/explorer/model_state.hpp
+++ b/simulation/explorer/model_state.hpp
@@ -70,7 +70,7 @@
   [[nodiscard]] PlannedQuery planned_query(std::uint32_t manager, std::uint32_t client,
                                            std::uint32_t nth) const;
   [[nodiscard]] QueryId query_id(std::uint32_t client, std::uint32_t nth) const;
-  [[nodiscard]] std::optional<QueryId> next_query_id(std::uint32_t manager, std::uint32_t client) const;
+  [[nodiscard]] bool has_next_query(std::uint32_t manager, std::uint32_t client) const;
   [[nodiscard]] bool spends_fault(const Move& move) const;
 
   // Possible moves (model_moves.cpp).
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -33,6 +33,7 @@
 Engine* LoadBalancer::choose(const Request& request) {
   if (!fleet_has_capacity_for(request)) return nullptr;
   const Weights weights = draw_weights(request);
+  if (!rules_.may_send_now(request)) return nullptr;
   Engine* best = nullptr;
   double best_load = 0;
   for (auto& [id, engine] : state_.engines) {
@@ -65,7 +66,7 @@
 
 bool LoadBalancer::is_eligible(const Request& request, const Engine& engine) const {
   const ClassSettings& settings = state_.settings_of(request);
-  if (!rules_.may_send(request, engine) || engine.health == Health::ejected) return false;
+  if (!rules_.may_send_to(request, engine) || engine.health == Health::ejected) return false;
   if (state_.now < engine.overloaded_until) return false;
   if (engine.health == Health::probation &&
       (engine.queries > 0 || settings.repeat != Idempotency::idempotent)) {
--- a/src/decision/send_rules.cpp
+++ b/src/decision/send_rules.cpp
@@ -23,12 +23,16 @@
 
 }  // namespace
 
-bool SendRules::may_send(const Request& request, const Engine& engine) const {
+bool SendRules::may_send_now(const Request& request) const {
   if (request.is_over || request.has_answer_begun || request.is_in_flight()) return false;
   if (state_.now >= request.deadline - answer_margin(state_.settings)) return false;
   if (!request.attempts.empty() && request.attempts.size() >= state_.settings.max_attempts) return false;
+  return has_turn(request) && is_within_retry_budget(request);
+}
+
+bool SendRules::may_send_to(const Request& request, const Engine& engine) const {
   return engine.is_ready() && is_placement_allowed(request, engine) && is_repeat_safe(request, engine) &&
-         has_turn(request) && is_within_retry_budget(request) && slow_start_.allows(request, engine);
+         slow_start_.allows(request, engine);
 }
 
 bool SendRules::may_retry(const Request& request) const {
--- a/src/decision/send_rules.hpp
+++ b/src/decision/send_rules.hpp
@@ -14,8 +14,10 @@
   SendRules(const ManagerState& state, const AdmissionController& admission, const SlowStart& slow_start)
       : state_(state), admission_(admission), slow_start_(slow_start) {}
 
-  /// Whether `request` may be sent to `engine` now.
-  [[nodiscard]] bool may_send(const Request& request, const Engine& engine) const;
+  /// Whether an attempt of `request` may be sent now, to whichever engine.
+  [[nodiscard]] bool may_send_now(const Request& request) const;
+  /// Whether `engine` may get an attempt of `request`, where may_send_now() allows one.
+  [[nodiscard]] bool may_send_to(const Request& request, const Engine& engine) const;
   /// Whether another attempt could be made at all, once the present one has ended in doubt.
   [[nodiscard]] bool may_retry(const Request& request) const;
   /// Whether the client may be invited to repeat `request`: not where it may have run and a repeat may run
--- a/src/decision/workload_manager.cpp
+++ b/src/decision/workload_manager.cpp
@@ -209,9 +209,12 @@
 
   void answer_past_saving() {
     std::vector<RequestId> past_saving;
-    for (const auto& [id, request] : state_.requests) {
-      if (request.is_held && admission_.is_past_saving(request)) past_saving.push_back(id);
+    for (const ClassState& class_state : state_.classes) {
+      for (const RequestId id : class_state.queue) {
+        if (admission_.is_past_saving(state_.requests.at(id))) past_saving.push_back(id);
+      }
     }
+    std::sort(past_saving.begin(), past_saving.end());  // by number over all classes
     for (const RequestId id : past_saving) lifecycle_.reject_or_fail(state_.requests.at(id));
   }
 
--- a/tests/decision/send_rules_test.cpp
+++ b/tests/decision/send_rules_test.cpp
@@ -19,26 +19,30 @@
   return request;
 }
 
+bool may_send(const DecisionFixture& fixture, const Request& request, const Engine& engine) {
+  return fixture.rules.may_send_now(request) && fixture.rules.may_send_to(request, engine);
+}
+
 TEST(SendRules, AReadyEngineMayGetARequestAndADrainingOneMayNot) {
   DecisionFixture fixture;
   const Request& request = fixture.add_request(1);
 
-  EXPECT_TRUE(fixture.rules.may_send(request, fixture.add_engine(1)));
-  EXPECT_FALSE(fixture.rules.may_send(request, fixture.add_engine(2, EngineState::draining)));
+  EXPECT_TRUE(may_send(fixture, request, fixture.add_engine(1)));
+  EXPECT_FALSE(may_send(fixture, request, fixture.add_engine(2, EngineState::draining)));
 }
 
 TEST(SendRules, ARequestInFlightOrAnsweredIsNotSentAgain) {
   DecisionFixture fixture;
   const Engine& engine = fixture.add_engine(1);
   Request& request = add_request_that_may_have_run(fixture);
-  ASSERT_TRUE(fixture.rules.may_send(request, engine));
+  ASSERT_TRUE(may_send(fixture, request, engine));
 
   request.attempts[0].in_flight = true;
-  EXPECT_FALSE(fixture.rules.may_send(request, engine));
+  EXPECT_FALSE(may_send(fixture, request, engine));
 
   request.attempts[0].in_flight = false;
   request.has_answer_begun = true;
-  EXPECT_FALSE(fixture.rules.may_send(request, engine));
+  EXPECT_FALSE(may_send(fixture, request, engine));
 }
 
 TEST(SendRules, NonIdempotentWorkThatMayHaveRunIsNeitherRepeatedNorRejected) {
@@ -48,12 +52,12 @@
   const Engine& engine = fixture.add_engine(1);
   Request& request = add_request_that_may_have_run(fixture);
 
-  EXPECT_FALSE(fixture.rules.may_send(request, engine));
+  EXPECT_FALSE(may_send(fixture, request, engine));
   EXPECT_FALSE(fixture.rules.may_retry(request));
   EXPECT_FALSE(fixture.rules.may_reject(request));
 
   request.attempts[0].may_have_run = false;
-  EXPECT_TRUE(fixture.rules.may_send(request, engine));
+  EXPECT_TRUE(may_send(fixture, request, engine));
   EXPECT_TRUE(fixture.rules.may_reject(request));
 }
 
@@ -68,11 +72,11 @@
   other_cell.entry.cell = 1;
   const Request& request = add_request_that_may_have_run(fixture);
 
-  EXPECT_TRUE(fixture.rules.may_send(request, same_cell));
-  EXPECT_FALSE(fixture.rules.may_send(request, other_cell));
+  EXPECT_TRUE(may_send(fixture, request, same_cell));
+  EXPECT_FALSE(may_send(fixture, request, other_cell));
 
   fixture.state.now = 2;
-  EXPECT_FALSE(fixture.rules.may_send(request, same_cell));
+  EXPECT_FALSE(may_send(fixture, request, same_cell));
 }
 
 TEST(SendRules, AKeyThatSettlesHoldsBackFirstAttemptsOnly) {
