--- a/bench_adapter/wire_host.cpp
+++ b/bench_adapter/wire_host.cpp
@@ -165,7 +165,7 @@
   event.attempt = in.read<std::uint16_t>();
   event.engine = in.read<std::uint32_t>();
   event.result = read_result(in);
-  event.took = in.read_time();
+  event.elapsed = in.read_time();
   event.request_over = in.read<std::uint8_t>() != 0;
   const auto cost = in.read<std::uint32_t>();
   if (answers_report_cost && cost != 0 && event.result == AttemptResult::served) {
@@ -180,7 +180,7 @@
   ProbeEnded event;
   event.result = read_result(in);
   event.engine = in.read<std::uint32_t>();
-  event.took = in.read_time();
+  event.elapsed = in.read_time();
   event.report = read_report(in, report_names);
   return event;
 }
--- a/fuzz/discovery.cpp
+++ b/fuzz/discovery.cpp
@@ -24,7 +24,7 @@
         const std::uint64_t before = fleet.last();
         core::EndpointsUpdated changed;
         std::vector<EngineId> processes_ended;
-        const auto taken = fleet.take(*event, changed, processes_ended);
+        const auto taken = fleet.apply(*event, changed, processes_ended);
         if (taken == platform::EndpointList::ApplyResult::applied ? fleet.last() <= before
                                                                   : fleet.last() != before)
           fuzz::fail("the number of the last event went wrong");
--- a/fuzz/engine_frames.cpp
+++ b/fuzz/engine_frames.cpp
@@ -34,11 +34,11 @@
         has_ended = true;
         break;
       }
-      const auto step = paged.take(std::move(std::get<engine_frames::Answer>(answer)));
+      const auto step = paged.add(std::move(std::get<engine_frames::Answer>(answer)));
       output += std::to_string(step.index());
       const auto* done = std::get_if<platform::PagedAnswer::Done>(&step);
       if (done != nullptr && done->ending == core::Ending::complete) {
-        if (!engine_frames::whole_rows(paged.body()) || paged.body().size() > platform::most_result)
+        if (!engine_frames::has_complete_rows(paged.body()) || paged.body().size() > platform::max_result)
           fuzz::fail("a result that is no rows, or too large");
         paged = {};
       }
--- a/fuzz/jsonrpc.cpp
+++ b/fuzz/jsonrpc.cpp
@@ -6,7 +6,7 @@
 
 using namespace paddlestand;
 
-constexpr std::size_t most_line = 512;
+constexpr std::size_t max_line = 512;
 
 std::string run(fuzz::Chunks chunks, std::uint8_t) {
   static const std::vector<ClassSettings> classes = [] {
@@ -14,12 +14,12 @@
     all[0].name = "report";
     all[0].deadline = std::chrono::seconds(10);
     all[1].name = "load";
-    all[1].repeat = Idempotency::idempotent_with_key;
+    all[1].idempotency = Idempotency::idempotent_with_key;
     all[1].ordered_by_key = true;
     return all;
   }();
   const jsonrpc::CallReader reader(classes);
-  jsonrpc::LineCutter lines(most_line);
+  jsonrpc::LineCutter lines(max_line);
   std::string output;
   while (chunks.has_next()) {
     lines.feed(chunks.next());
@@ -28,14 +28,14 @@
       if (const auto* query = std::get_if<jsonrpc::Query>(&message)) {
         if (query->statement.empty() || query->client_timeout.count() <= 0 || query->id < 1)
           fuzz::fail("a query that can't be asked");
-        output += "query " + std::to_string(query->id) + query->statement + query->nonce + "\n";
+        output += "query " + std::to_string(query->id) + query->statement + query->idempotency_key + "\n";
       } else if (const auto* problem = std::get_if<jsonrpc::Problem>(&message)) {
         jsonrpc::put_error(output, problem->id, problem->code, problem->text);
       } else {
         output += std::to_string(message.index());
       }
     }
-    if (chunks.is_split() && lines.kept() > most_line + 256) fuzz::fail("more is kept than a line");
+    if (chunks.is_split() && lines.buffered_bytes() > max_line + 256) fuzz::fail("more is kept than a line");
   }
   return output + (lines.too_long() ? "long" : "");
 }
--- a/fuzz/pg_front.cpp
+++ b/fuzz/pg_front.cpp
@@ -12,10 +12,10 @@
   users->trust = (seed & 1U) == 0;
   users->mock_secret = "mock";
   pg::FrontendSettings settings;
-  settings.most_message = 4096;
-  settings.most_batch = 8192;
-  settings.most_statements = 4;
-  settings.most_statement_bytes = 2048;
+  settings.max_message = 4096;
+  settings.max_batch = 8192;
+  settings.max_statements = 4;
+  settings.max_statement_bytes = 2048;
   pg::FrontendSession front(settings, users, {7, 9}, "nonce");
   std::string output;
   bool has_ended = false;
--- a/include/paddlestand/workload_manager.hpp
+++ b/include/paddlestand/workload_manager.hpp
@@ -56,7 +56,7 @@
   Duration deadline{};
   double priority_weight{};
   double late_answer_weight{};  // share of the priority weight that an answer after the objective earns
-  Idempotency repeat{};
+  Idempotency idempotency{};
   IdempotencyScope idempotency_scope{};
   Duration idempotency_window{};  // how long engines remember an idempotency key
   bool ordered_by_key{};
@@ -179,7 +179,7 @@
   std::uint32_t attempt{};
   EngineId engine{};
   AttemptResult result{};
-  Duration took{};
+  Duration elapsed{};
   bool request_over{};  // the client has its answer
   std::optional<Duration> work;  // served: actual work, where the engine reports it
   std::optional<double> memory_mb;  // served: memory used, where the engine reports it
@@ -197,7 +197,7 @@
 struct ProbeEnded {
   EngineId engine{};
   AttemptResult result{};
-  Duration took{};
+  Duration elapsed{};
   LoadReport report;
 };
 /// An attempt in flight, as announced to peers.
@@ -280,7 +280,7 @@
   virtual void behind(double) {}
   virtual void number(double& value) = 0;
   /// An integer, boolean or enumeration.
-  virtual void whole(std::uint64_t& value) = 0;
+  virtual void integer(std::uint64_t& value) = 0;
   /// A time that lies in the past.
   virtual void since(double& time) = 0;
   /// A time that matters only while it lies ahead.
--- a/simulation/engine_model/engine_model.cpp
+++ b/simulation/engine_model/engine_model.cpp
@@ -31,7 +31,7 @@
     has_crashed_ = true;
     return Admission::crashed;
   }
-  if (jobs_.size() >= shape_.most_jobs) return Admission::overloaded;
+  if (jobs_.size() >= shape_.max_jobs) return Admission::overloaded;
   Running run;
   run.job = job;
   if (run.job.granted_mb <= 0) run.job.granted_mb = run.job.memory_mb;
--- a/simulation/engine_model/engine_model.hpp
+++ b/simulation/engine_model/engine_model.hpp
@@ -32,7 +32,7 @@
   double short_cost = 2.5;  ///< the factor on the work of a job without the memory it needs
   std::size_t warm_tables = 4;  ///< how many the cache holds
   double warm_saves = 0.5;  ///< of reading, where the table is cached
-  std::size_t most_jobs = 64;  ///< more are rejected as overload
+  std::size_t max_jobs = 64;  ///< more are rejected as overload
   double slow_start_capacity_share = 1;  ///< at its start
   Seconds slow_start_duration = 0;
   double overload_multiple = 0;  ///< of the cold capacity, above which it crashes; zero: never
--- a/simulation/explorer/digest.hpp
+++ b/simulation/explorer/digest.hpp
@@ -24,7 +24,7 @@
   /// Seconds that passed since the visited part last learned the time.
   void set_lag(double seconds) { lag_ = seconds; }
   void number(double& value) override;
-  void whole(std::uint64_t& value) override { put(value); }
+  void integer(std::uint64_t& value) override { put(value); }
   void since(double& time) override;
   void until(double& time) override;
   // Histories are shorter than the counting windows: only that an event is counted matters, not when.
@@ -65,7 +65,7 @@
  public:
   void clock(double&) override {}
   void number(double&) override {}
-  void whole(std::uint64_t&) override {}
+  void integer(std::uint64_t&) override {}
   void since(double&) override {}
   void until(double&) override {}
   void counted(double&) override {}
--- a/simulation/explorer/model_apply.cpp
+++ b/simulation/explorer/model_apply.cpp
@@ -313,7 +313,7 @@
 void ModelState::advance_to(TimePoint time) {
   for (ManagerState& manager : managers_) {
     const auto& monitor = manager.dispatcher.monitor();
-    if (monitor && monitor->rest_ends_while_out(now_, time))
+    if (monitor && monitor->key_settles_while_active(now_, time))
       cover(CoverageGoal::settle_time_ends_during_attempt);
     // What crosses with a close does so at once.
     std::erase_if(manager.channels, [](const EngineSideChannel& channel) { return channel.is_closed; });
--- a/simulation/explorer/model_digest.cpp
+++ b/simulation/explorer/model_digest.cpp
@@ -30,34 +30,34 @@
 }
 
 void visit_client(const core::StateWalk& walk, const Client& client) {
-  walk.wholes(client.is_connected, client.is_reading, client.is_broken, client.queries_submitted,
-              client.undelivered_bytes, client.active_query, client.has_deferred_cancel,
-              client.cancelled_query == client.active_query);
+  walk.integers(client.is_connected, client.is_reading, client.is_broken, client.queries_submitted,
+                client.undelivered_bytes, client.active_query, client.has_deferred_cancel,
+                client.cancelled_query == client.active_query);
 }
 
 void visit_query(const core::StateWalk& walk, QueryId id, const ObservedQuery& observed) {
   walk.name(core::Name::query, id);
-  walk.wholes(observed.client, observed.is_answered, observed.attempts_in_flight, observed.rows_delivered,
-              observed.rows_channel != 0);
+  walk.integers(observed.client, observed.is_answered, observed.attempts_in_flight, observed.rows_delivered,
+                observed.rows_channel != 0);
   if (observed.rows_channel != 0) walk.name(core::Name::channel, observed.rows_channel);
 }
 
 void visit_channel(const core::StateWalk& walk, const EngineSideChannel& channel, bool has_running_process) {
   walk.name(core::Name::channel, channel.id);
   walk.name(core::Name::engine, channel.engine);
-  walk.wholes(has_running_process, channel.is_probe, channel.is_open, channel.is_paused, channel.is_closed,
-              channel.transmission);
-  walk.wholes(channel.small_parts, channel.large_parts, channel.progress_reports,
-              channel.pending_cancel.has_value());
+  walk.integers(has_running_process, channel.is_probe, channel.is_open, channel.is_paused, channel.is_closed,
+                channel.transmission);
+  walk.integers(channel.small_parts, channel.large_parts, channel.progress_reports,
+                channel.pending_cancel.has_value());
   if (channel.transmission != Transmission::none) walk.name(core::Name::query, channel.query);
   if (channel.pending_cancel) walk.name(core::Name::query, *channel.pending_cancel);
   walk.list(channel.buffered_rows,
-            [&](const Row& row) { walk.wholes(row.query, row.number, row.channel == channel.id); });
+            [&](const Row& row) { walk.integers(row.query, row.number, row.channel == channel.id); });
 }
 
 void visit_engine(const core::StateWalk& walk, EngineId id, const ModelEngine& engine) {
   walk.name(core::Name::engine, id);
-  walk.wholes(engine.listed_state, engine.is_stalled, engine.was_disrupted);
+  walk.integers(engine.listed_state, engine.is_stalled, engine.was_disrupted);
   walk.since(engine.started);
   if (engine.listed_state != EngineState::ready) walk.since(engine.not_ready_since);
 }
@@ -90,13 +90,13 @@
     walk.set(manager.channels, [&](const EngineSideChannel& channel) {
       visit_channel(walk, channel, has_running_process(channel));
     });
-    walk.wholes(manager.is_shutting_down);
+    walk.integers(manager.is_shutting_down);
   }
   const core::StateWalk walk(digest, now_);
   walk.set(engines_, [&](const ModelEngine& engine) {
     visit_engine(walk, static_cast<EngineId>(&engine - engines_.data()) + 1, engine);
   });
-  walk.wholes(remaining_faults_, discovery_failed_, timer_delayed_);
+  walk.integers(remaining_faults_, discovery_failed_, timer_delayed_);
   return digest.value();
 }
 
--- a/simulation/explorer/scope.cpp
+++ b/simulation/explorer/scope.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-ClassSettings class_settings(std::string name, Idempotency repeat) {
+ClassSettings class_settings(std::string name, Idempotency idempotency) {
   ClassSettings settings;
   settings.name = std::move(name);
   settings.latency_objective = 500ms;
@@ -16,7 +16,7 @@
   settings.priority_weight = 1;
   settings.late_answer_weight = 0.5;
   settings.threads = 1;
-  settings.repeat = repeat;
+  settings.idempotency = idempotency;
   settings.idempotency_scope = IdempotencyScope::zone;
   settings.idempotency_window = 550ms;
   return settings;
--- a/simulation/scenario/client.cpp
+++ b/simulation/scenario/client.cpp
@@ -125,8 +125,8 @@
   if (is_final(outcome.kind)) return false;
   const DayClass& day_class = day_.classes[arrival.class_index];
   const bool is_key_remembered =
-      day_class.repeat == Idempotency::idempotent_with_key && elapsed < day_class.idempotency_window / 2;
-  if (!outcome.is_retry_safe && day_class.repeat != Idempotency::idempotent && !is_key_remembered)
+      day_class.idempotency == Idempotency::idempotent_with_key && elapsed < day_class.idempotency_window / 2;
+  if (!outcome.is_retry_safe && day_class.idempotency != Idempotency::idempotent && !is_key_remembered)
     return false;
   return elapsed <= day_class.deadline;
 }
--- a/simulation/scenario/day_files.cpp
+++ b/simulation/scenario/day_files.cpp
@@ -13,8 +13,8 @@
 
 const char* flag_text(bool flag) { return flag ? "true" : "false"; }
 
-const char* repeat_text(Idempotency repeat) {
-  switch (repeat) {
+const char* repeat_text(Idempotency idempotency) {
+  switch (idempotency) {
     case Idempotency::idempotent: return "safe";
     case Idempotency::idempotent_with_key: return "keyed";
     case Idempotency::non_idempotent: break;
@@ -34,7 +34,7 @@
       << "\" aim-stretch=\"" << day_class.objective_per_run_time << "\" deadline=\""
       << time_text(day_class.deadline) << "\" worth=\"" << day_class.priority_weight << "\" late-worth=\""
       << day_class.late_answer_weight << "\" threads=\"" << day_class.threads << "\" repeat=\""
-      << repeat_text(day_class.repeat) << "\" key-scope=\"all\" key-window=\""
+      << repeat_text(day_class.idempotency) << "\" key-scope=\"all\" key-window=\""
       << time_text(day_class.idempotency_window) << "\" in-turn=\"" << flag_text(day_class.ordered_by_key)
       << "\" writes-tables=\"" << flag_text(day_class.writes) << "\" waits-for-writers=\"true\"";
   if (!day_class.zones.empty()) {
--- a/simulation/scenario/runner.cpp
+++ b/simulation/scenario/runner.cpp
@@ -96,8 +96,8 @@
   trace_checker::DayParameters parameters;
   for (const DayClass& day_class : day.classes) {
     trace_checker::ClassParameters& class_parameters = parameters.classes[day_class.name];
-    class_parameters.idempotent = day_class.repeat == Idempotency::idempotent;
-    class_parameters.idempotent_with_key = day_class.repeat == Idempotency::idempotent_with_key;
+    class_parameters.idempotent = day_class.idempotency == Idempotency::idempotent;
+    class_parameters.idempotent_with_key = day_class.idempotency == Idempotency::idempotent_with_key;
     class_parameters.idempotency_window_s = seconds(day_class.idempotency_window);
     class_parameters.ordered_by_key = day_class.ordered_by_key;
     class_parameters.zones = day_class.zones;
--- a/simulation/scenario/scenario.cpp
+++ b/simulation/scenario/scenario.cpp
@@ -40,7 +40,7 @@
   day_class.deadline = element.time("deadline");
   day_class.priority_weight = element.number("worth");
   day_class.late_answer_weight = element.number("late-worth");
-  day_class.repeat = idempotency_of(element.text("repeat"));
+  day_class.idempotency = idempotency_of(element.text("repeat"));
   day_class.idempotency_window = element.time("key-window");
   day_class.keys = element.count("keys");
   day_class.ordered_by_key = element.flag("in-turn");
--- a/simulation/scenario/scenario.hpp
+++ b/simulation/scenario/scenario.hpp
@@ -28,7 +28,7 @@
   double objective_per_run_time = 0;
   double priority_weight = 1;
   double late_answer_weight = 0;
-  Idempotency repeat{};
+  Idempotency idempotency{};
   std::uint32_t keys = 0;  ///< how many different ones; zero: requests have none
   std::uint32_t rows = 1;
   std::uint32_t row_bytes = 16;
--- a/src/config/manager_config.cpp
+++ b/src/config/manager_config.cpp
@@ -72,9 +72,9 @@
     out.late_answer_weight = one.number("late-worth");
     out.threads = one.number("threads");
     const std::string repeat = one.text("repeat"), scope = one.text("key-scope");
-    out.repeat = repeat == "safe"    ? Idempotency::idempotent
-                 : repeat == "keyed" ? Idempotency::idempotent_with_key
-                                     : Idempotency::non_idempotent;
+    out.idempotency = repeat == "safe"    ? Idempotency::idempotent
+                      : repeat == "keyed" ? Idempotency::idempotent_with_key
+                                          : Idempotency::non_idempotent;
     out.idempotency_scope = scope == "all"    ? IdempotencyScope::all
                             : scope == "zone" ? IdempotencyScope::zone
                                               : IdempotencyScope::cell;
@@ -94,7 +94,7 @@
     if (out.deadline.count() <= 0) fail(one, "deadline of class '" + out.name + "'; wanted: more than 0");
     if (out.latency_objective > out.deadline)
       fail(one, "aim of class '" + out.name + "' lies behind its deadline; wanted: aim <= deadline");
-    if (out.repeat == Idempotency::idempotent_with_key && out.idempotency_window.count() == 0)
+    if (out.idempotency == Idempotency::idempotent_with_key && out.idempotency_window.count() == 0)
       fail(one, "class '" + out.name + "' is keyed; wanted: a key-window of more than 0");
     return out;
   }
@@ -156,7 +156,7 @@
     read_buffers(root, out.core);
     read_engines(*root.child("engines"), out);
     read_log(root, out.log);
-    if (const auto leave = root.child("leave")) out.leave_grace = leave->time("grace");
+    if (const auto leave = root.child("leave")) out.shutdown_grace_period = leave->time("grace");
     return out;
   }
 
@@ -168,10 +168,10 @@
     out.port = static_cast<std::uint16_t>(listen.count("port"));
     out.scram = listen.text("authentication") == "scram";
     out.users_file = beside(file_, listen.text("users"));
-    out.most_sessions = listen.count("most-sessions");
+    out.max_sessions = listen.count("most-sessions");
     out.login_time = listen.time("login-time");
     out.write_stall = listen.time("write-stall");
-    out.most_message = listen.bytes("most-message");
+    out.max_message = listen.bytes("most-message");
     const bool loopback = out.address.starts_with("127.") || out.address == "::1";
     if (!out.scram && !loopback) {
       fail(listen, "authentication 'trust' on address " + out.address +
@@ -322,7 +322,7 @@
   for (std::size_t i = 0; i < a.classes.size(); ++i) {
     const ClassSettings &x = a.classes[i], &y = b.classes[i];
     if (x.name != y.name || x.latency_objective != y.latency_objective || x.deadline != y.deadline ||
-        x.priority_weight != y.priority_weight || x.repeat != y.repeat ||
+        x.priority_weight != y.priority_weight || x.idempotency != y.idempotency ||
         x.ordered_by_key != y.ordered_by_key || x.idempotency_window != y.idempotency_window)
       return "class '" + x.name + "'";
   }
--- a/src/config/manager_config.hpp
+++ b/src/config/manager_config.hpp
@@ -33,9 +33,9 @@
   std::uint16_t port{};
   bool scram = false;
   std::string users_file;
-  std::uint32_t most_sessions{};
+  std::uint32_t max_sessions{};
   Duration login_time{}, write_stall{};
-  std::size_t most_message{};
+  std::size_t max_message{};
   friend bool operator==(const ListenConfig&, const ListenConfig&) = default;
 };
 
@@ -56,7 +56,7 @@
   std::string engines_file;  ///< absolute, or empty
   Duration engines_poll{};
   observe::LogConfig log;
-  Duration leave_grace = std::chrono::seconds(5);
+  Duration shutdown_grace_period = std::chrono::seconds(5);
   std::map<std::string, std::uint32_t> zones, kinds;  ///< index by name: needed to read an engine list
 };
 
--- a/src/config/read_file.cpp
+++ b/src/config/read_file.cpp
@@ -14,7 +14,7 @@
 using core::CallVerdict;
 using core::SystemCall;
 
-constexpr int most_retries = 64;  // of one call in a row
+constexpr int max_retries = 64;  // of one call in a row
 
 FileError error_of(SystemCall call, int error_number) {
   const CallVerdict verdict = core::verdict_of(call, error_number);
@@ -25,13 +25,13 @@
 template <typename Call>
 auto uninterrupted(Call call) {
   auto result = call();
-  for (int tries = 0; result < 0 && errno == EINTR && tries < most_retries; ++tries) result = call();
+  for (int tries = 0; result < 0 && errno == EINTR && tries < max_retries; ++tries) result = call();
   return result;
 }
 
 }  // namespace
 
-std::variant<std::string, FileError> read_file(const std::string& path, std::size_t most_bytes) {
+std::variant<std::string, FileError> read_file(const std::string& path, std::size_t max_bytes) {
   const int file = uninterrupted([&] { return ::open(path.c_str(), O_RDONLY | O_CLOEXEC); });
   if (file < 0) return error_of(SystemCall::open_file, errno);
   std::string text;
@@ -40,10 +40,10 @@
     const ssize_t got = uninterrupted([&] { return ::read(file, part.data(), part.size()); });
     const int error_number = errno;
     if (got > 0) text.append(part.data(), static_cast<std::size_t>(got));
-    if (got > 0 && text.size() <= most_bytes) continue;
+    if (got > 0 && text.size() <= max_bytes) continue;
     ::close(file);
     if (got < 0) return error_of(SystemCall::read_file, error_number);
-    if (text.size() > most_bytes) return FileError{EFBIG, false};
+    if (text.size() > max_bytes) return FileError{EFBIG, false};
     return text;
   }
 }
--- a/src/config/read_file.hpp
+++ b/src/config/read_file.hpp
@@ -12,6 +12,6 @@
 };
 
 /// The whole file, of at most so many bytes. Interrupted and short reads go on.
-std::variant<std::string, FileError> read_file(const std::string& path, std::size_t most_bytes);
+std::variant<std::string, FileError> read_file(const std::string& path, std::size_t max_bytes);
 
 }  // namespace paddlestand::config
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -154,11 +154,11 @@
   out.priority_weight = in.number<double>(at + "gain");
   out.late_answer_weight = in.number<double>(at + "late_value");
   // A word that is not known counts as the strictest kind.
-  out.repeat = in.choice<Idempotency>(at + "repeat",
-                                      {{"pure", Idempotency::idempotent},
-                                       {"token", Idempotency::idempotent_with_key},
-                                       {"side_effect", Idempotency::non_idempotent}},
-                                      Idempotency::non_idempotent);
+  out.idempotency = in.choice<Idempotency>(at + "repeat",
+                                           {{"pure", Idempotency::idempotent},
+                                            {"token", Idempotency::idempotent_with_key},
+                                            {"side_effect", Idempotency::non_idempotent}},
+                                           Idempotency::non_idempotent);
   out.idempotency_scope = in.choice<IdempotencyScope>(
       at + "key_scope",
       {{"all", IdempotencyScope::all}, {"zone", IdempotencyScope::zone}, {"cell", IdempotencyScope::cell}},
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -52,10 +52,10 @@
 void Document::Free::operator()(void* document) const { xmlFreeDoc(static_cast<xmlDocPtr>(document)); }
 
 std::variant<Document, Fault> Document::read(const std::string& path, std::string_view schema) {
-  const auto text = read_file(path, most_file_bytes);
+  const auto text = read_file(path, max_file_bytes);
   if (const auto* error = std::get_if<FileError>(&text)) {
     if (error->error_number == EFBIG)
-      return Fault{path, 0, "is larger than " + std::to_string(most_file_bytes) + " bytes"};
+      return Fault{path, 0, "is larger than " + std::to_string(max_file_bytes) + " bytes"};
     return Fault{path, 0, "can't be read: " + std::string(std::strerror(error->error_number))};
   }
   return parse(std::get<std::string>(text), path, schema);
--- a/src/config/xml.hpp
+++ b/src/config/xml.hpp
@@ -51,7 +51,7 @@
 
 class Document {
  public:
-  // Reads at most `most_file_bytes` of the file. Nothing outside of it is followed: no entities, no network.
+  // Reads at most `max_file_bytes` of the file. Nothing outside of it is followed: no entities, no network.
   static std::variant<Document, Fault> read(const std::string& path, std::string_view schema);
   static std::variant<Document, Fault> parse(std::string_view text, const std::string& name,
                                              std::string_view schema);
@@ -67,7 +67,7 @@
   std::string file_;
 };
 
-inline constexpr std::size_t most_file_bytes = std::size_t{16} * 1024 * 1024;
+inline constexpr std::size_t max_file_bytes = std::size_t{16} * 1024 * 1024;
 
 // "250ms", "1.5s"
 Duration read_time(std::string_view text);
--- a/src/core/classify.cpp
+++ b/src/core/classify.cpp
@@ -157,7 +157,7 @@
     return Problem{"unknown tenant '" + value + "'; wanted one of: " + joined(classifier_.tenants_)};
   }
   std::optional<Problem> parse_cost(const std::string& value) {
-    query.estimated_cost = parse_milliseconds(value, classifier_.settings_.most_cost);
+    query.estimated_cost = parse_milliseconds(value, classifier_.settings_.max_cost);
     if (query.estimated_cost) return std::nullopt;
     return Problem{"cost_ms='" + value + "'; wanted: milliseconds from 0 to a day's"};
   }
@@ -167,7 +167,7 @@
     return Problem{"deadline_ms='" + value + "'; wanted: milliseconds, more than 0, an hour's at most"};
   }
   std::optional<Problem> parse_memory(const std::string& value) {
-    const double max = classifier_.settings_.most_memory_mb;
+    const double max = classifier_.settings_.max_memory_mb;
     const auto megabytes = parse_number(value);
     if (!megabytes || *megabytes < 0 || *megabytes > max) {
       return Problem{"memory_mb='" + value + "'; wanted: megabytes from 0 to " +
--- a/src/core/classify.hpp
+++ b/src/core/classify.hpp
@@ -27,8 +27,8 @@
   std::string class_otherwise;  ///< of requests that neither tags nor rules classify
   std::string tenant_otherwise;  ///< likewise; empty: none
   Duration max_client_timeout = std::chrono::hours(1);
-  Duration most_cost = std::chrono::hours(24);
-  double most_memory_mb = 16.0 * 1024 * 1024;
+  Duration max_cost = std::chrono::hours(24);
+  double max_memory_mb = 16.0 * 1024 * 1024;
   bool refuse_unknown_tags = false;
 };
 
--- a/src/core/coordinator_answers.cpp
+++ b/src/core/coordinator_answers.cpp
@@ -161,10 +161,10 @@
   answer.shutting_down = outcome.shutting_down;
   answer.retry_after = outcome.retry_after;
   answer.class_index = query.class_index;
-  answer.took = now_ - query.arrived;
+  answer.elapsed = now_ - query.arrived;
   const bool was_given_up = outcome.kind == AnswerKind::rejected || outcome.kind == AnswerKind::failed;
   const Duration deadline_margin = deadline_margin_steps * settings_->module.clock_step;
-  answer.deadline_exceeded = was_given_up && answer.took + deadline_margin >= query.client_timeout;
+  answer.deadline_exceeded = was_given_up && answer.elapsed + deadline_margin >= query.client_timeout;
   for (const AttemptRecord& attempt : query.attempts)
     answer.attempts.push_back(account_of(attempt, query, now_));
   return answer;
--- a/src/core/coordinator_attempts.cpp
+++ b/src/core/coordinator_attempts.cpp
@@ -134,7 +134,7 @@
   event.attempt = attempt_index;
   event.engine = attempt.engine;
   event.result = result;
-  event.took = attempt.duration;
+  event.elapsed = attempt.duration;
   event.request_over = result == AttemptResult::served || query.is_finished() || truncated;
   if (end != nullptr) {
     event.report = end->report;
--- a/src/core/coordinator_state.cpp
+++ b/src/core/coordinator_state.cpp
@@ -114,8 +114,8 @@
   visit_sessions(fields);
   visit_queries(fields);
   visit_timers(fields);
-  fields.wholes(buffers_.total(), unanswered_queries_, lifecycle_ != Lifecycle::running,
-                lifecycle_ == Lifecycle::finished);
+  fields.integers(buffers_.total(), unanswered_queries_, lifecycle_ != Lifecycle::running,
+                  lifecycle_ == Lifecycle::finished);
   visitor.behind(static_cast<double>((now_ - module_notified_at_).count()) * 1e-9);
   module_.visit(visitor);
   visitor.behind(0);
@@ -125,11 +125,11 @@
   fields.table(channels_, [&](ChannelId id, const ChannelRecord& channel) {
     fields.name(Name::channel, id);
     fields.name(Name::engine, channel.engine);
-    fields.wholes(channel.use, channel.state.state(), channel.query.has_value(), channel.buffered_bytes,
-                  channel.paused, channel.timer.has_value());
+    fields.integers(channel.use, channel.state.state(), channel.query.has_value(), channel.buffered_bytes,
+                    channel.paused, channel.timer.has_value());
     if (channel.query) {
       fields.name(Name::query, *channel.query);
-      fields.whole(channel.attempt_index);
+      fields.integer(channel.attempt_index);
     }
     if (channel.timer) fields.until(channel.timer->first);
     if (channel.use == ChannelUse::probe) fields.since(channel.opened_at);
@@ -139,7 +139,7 @@
 void QueryCoordinator::visit_pools(const StateWalk& fields) {
   fields.table(pools_, [&](EngineId engine, const parts::Pool& pool) {
     fields.name(Name::engine, engine);
-    fields.wholes(pool.is_ready(), pool.channels());
+    fields.integers(pool.is_ready(), pool.channels());
     if (pool.started().count() > 0) fields.since(pool.started());
     fields.list(pool.idle(), [&](ChannelId channel) { fields.name(Name::channel, channel); });
   });
@@ -148,7 +148,7 @@
 void QueryCoordinator::visit_sessions(const StateWalk& fields) {
   fields.table(sessions_, [&](SessionId id, const SessionRecord& session) {
     fields.name(Name::session, id);
-    fields.wholes(session.state.state(), session.undelivered_bytes);
+    fields.integers(session.state.state(), session.undelivered_bytes);
     if (session.state.is(SessionState::active)) fields.name(Name::query, session.query);
   });
 }
@@ -157,15 +157,15 @@
   fields.table(queries_, [&](QueryId id, const QueryRecord& query) {
     fields.name(Name::query, id);
     fields.name(Name::session, query.session);
-    fields.wholes(query.class_index, query.priority, query.state.state());
+    fields.integers(query.class_index, query.priority, query.state.state());
     fields.number(query.memory_mb);
     // When it arrived, and when attempts started, matters for accounts only.
     fields.until(query.arrived + query.client_timeout);
     fields.list(query.attempts, [&](const AttemptRecord& attempt) {
       fields.name(Name::engine, attempt.engine);
-      fields.wholes(attempt.state.state(), attempt.channel.has_value(), attempt.result.has_value(),
-                    attempt.answer_discarded, attempt.timed_out);
-      if (attempt.result) fields.whole(*attempt.result);
+      fields.integers(attempt.state.state(), attempt.channel.has_value(), attempt.result.has_value(),
+                      attempt.answer_discarded, attempt.timed_out);
+      if (attempt.result) fields.integer(*attempt.result);
       if (attempt.channel) fields.name(Name::channel, *attempt.channel);
     });
   });
@@ -174,7 +174,7 @@
 void QueryCoordinator::visit_timers(const StateWalk& fields) {
   timers_.own().for_each([&](TimePoint due, const Timer& timer) {
     fields.until(due);
-    fields.wholes(timer.use, timer.attempt_index);
+    fields.integers(timer.use, timer.attempt_index);
     switch (timer.use) {
       case TimerUse::attempt_timeout: fields.name(Name::query, timer.subject); break;
       case TimerUse::shutdown: break;
@@ -183,7 +183,7 @@
   });
   fields.list(timers_.for_module(), [&](const auto& timer) {
     fields.until(timer.first);
-    fields.whole(timer.second);
+    fields.integer(timer.second);
   });
 }
 
--- a/src/core/invariant_checks.cpp
+++ b/src/core/invariant_checks.cpp
@@ -79,11 +79,11 @@
 
 void InvariantMonitor::check_effect_once(const SendQuery& action, const Query& query, const Engine& engine) {
   const ClassSettings& class_settings = class_of(query);
-  if (class_settings.repeat == Idempotency::idempotent) return;
+  if (class_settings.idempotency == Idempotency::idempotent) return;
   const Attempt* first = query.first_that_may_have_run();
   if (first == nullptr) return;
   const std::string text = query_text(action.query) + ", which may have run, is sent again";
-  if (class_settings.repeat == Idempotency::non_idempotent) {
+  if (class_settings.idempotency == Idempotency::non_idempotent) {
     violation(Invariant::effect_once, text + ", and is unsafe");
     return;
   }
@@ -184,9 +184,9 @@
 
 void InvariantMonitor::check_retry_safety(const Answer& action, const Query& query) {
   const ClassSettings& class_settings = class_of(query);
-  const bool knows_key_everywhere = class_settings.repeat == Idempotency::idempotent_with_key &&
+  const bool knows_key_everywhere = class_settings.idempotency == Idempotency::idempotent_with_key &&
                                     class_settings.idempotency_scope == IdempotencyScope::all;
-  if (class_settings.repeat == Idempotency::idempotent || knows_key_everywhere) return;
+  if (class_settings.idempotency == Idempotency::idempotent || knows_key_everywhere) return;
   if (query.first_that_may_have_run() != nullptr) {
     violation(Invariant::honest_answer,
               query_text(action.query) + " is refused as harmless to repeat, and may have run");
--- a/src/core/invariant_monitor.hpp
+++ b/src/core/invariant_monitor.hpp
@@ -38,7 +38,7 @@
   void visit(StateVisitor& visitor);
 
   /// Whether the settle time of a key ends within (from, to] while an attempt of that key is active.
-  [[nodiscard]] bool rest_ends_while_out(TimePoint from, TimePoint to) const;
+  [[nodiscard]] bool key_settles_while_active(TimePoint from, TimePoint to) const;
 
   static constexpr std::size_t max_recorded_violations = 16;
 
--- a/src/core/invariant_state.cpp
+++ b/src/core/invariant_state.cpp
@@ -9,7 +9,7 @@
 using monitored::Engine;
 using monitored::Query;
 
-bool InvariantMonitor::rest_ends_while_out(TimePoint from, TimePoint to) const {
+bool InvariantMonitor::key_settles_while_active(TimePoint from, TimePoint to) const {
   for (const auto& [key, settling] : key_order_.settling()) {
     const auto queue = key_order_.queues().find(key);
     if (settling.until <= from || settling.until > to || queue == key_order_.queues().end()) continue;
@@ -26,36 +26,36 @@
   fields.table(queries_, [&](QueryId id, const Query& query) {
     fields.name(Name::query, id);
     fields.name(Name::session, query.session);
-    fields.wholes(query.class_index, query.key, query.answered, query.abandoned, query.delivered_bytes,
-                  query.delivered_attempt);
+    fields.integers(query.class_index, query.key, query.answered, query.abandoned, query.delivered_bytes,
+                    query.delivered_attempt);
     fields.until(query.arrived + query.client_timeout);
     // Only the idempotency window depends on when an attempt was sent.
-    const bool has_window = class_of(query).repeat == Idempotency::idempotent_with_key;
+    const bool has_window = class_of(query).idempotency == Idempotency::idempotent_with_key;
     fields.list(query.attempts, [&](const Attempt& attempt) {
       fields.name(Name::engine, attempt.engine);
-      fields.wholes(attempt.handed_over, attempt.active, attempt.rejected, attempt.answer_bytes,
-                    attempt.complete);
+      fields.integers(attempt.handed_over, attempt.active, attempt.rejected, attempt.answer_bytes,
+                      attempt.complete);
       if (has_window) fields.since(attempt.sent_at);
     });
   });
   fields.table(channels_, [&](ChannelId id, const Channel& channel) {
     fields.name(Name::channel, id);
-    fields.wholes(channel.up, channel.carries_query, channel.cancelled, channel.not_reusable,
-                  channel.buffered_bytes);
+    fields.integers(channel.up, channel.carries_query, channel.cancelled, channel.not_reusable,
+                    channel.buffered_bytes);
     if (!channel.carries_query && channel.buffered_bytes == 0) return;
     fields.name(Name::query, channel.query);
-    fields.whole(channel.attempt_index);
+    fields.integer(channel.attempt_index);
   });
   fields.table(engines_, [&](EngineId id, const Engine& engine) {
     fields.name(Name::engine, id);
-    fields.wholes(engine.ready, engine.channels);
+    fields.integers(engine.ready, engine.channels);
     if (!engine.ready) fields.since(engine.not_ready_since);
     fields.until(engine.slow_start_ends);
     if (engine.slow_start_ends <= now_) return;
     fields.list(engine.sends_in_slow_start, [&](const auto& send) { fields.since(send.first); });
   });
   fields.table(key_order_.settling(), [&](std::uint64_t key, const monitored::KeyOrder::Settling& settling) {
-    fields.whole(key);
+    fields.integer(key);
     fields.until(settling.until);
     if (settling.until > now_) fields.name(Name::query, settling.query);
   });
--- a/src/core/state_walk.hpp
+++ b/src/core/state_walk.hpp
@@ -26,18 +26,18 @@
 
   /// Integers, booleans and enums.
   template <typename... T>
-  void wholes(const T&... values) const {
-    (whole(values), ...);
+  void integers(const T&... values) const {
+    (integer(values), ...);
   }
   template <typename T>
-  void whole(const T& value) const {
+  void integer(const T& value) const {
     std::uint64_t raw = 0;
     if constexpr (std::is_enum_v<T>) {
       raw = static_cast<std::uint64_t>(static_cast<std::underlying_type_t<T>>(value));
     } else {
       raw = static_cast<std::uint64_t>(value);
     }
-    visitor_.whole(raw);
+    visitor_.integer(raw);
   }
   void number(double value) const { visitor_.number(value); }
   void since(TimePoint at) const {
--- a/src/core/stream_table.hpp
+++ b/src/core/stream_table.hpp
@@ -19,14 +19,14 @@
 using StreamId = std::uint64_t;  ///< the id of a request or a probe in its frames
 
 /// After this many ids a connection accepts no new stream, so that the ids it remembers stay bounded.
-inline constexpr std::size_t most_ids_of_a_connection = 1024;
+inline constexpr std::size_t max_ids_of_a_connection = 1024;
 
 class StreamTable {
  public:
   /// Whether a stream with this id may be opened: none was before, and the connection is not exhausted.
   [[nodiscard]] bool may_carry(StreamId id) const;
   /// Whether no further stream may be opened, whatever its id.
-  [[nodiscard]] bool exhausted() const { return used_.size() >= most_ids_of_a_connection; }
+  [[nodiscard]] bool exhausted() const { return used_.size() >= max_ids_of_a_connection; }
 
   /// Reserves the id for a stream that is going to be opened. False where it may not be.
   bool reserve(StreamId id, ChannelId channel);
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -170,7 +170,7 @@
   EngineId engine{};
   std::optional<AttemptResult> result;  ///< none: still active
   Duration began{};  ///< since the query arrived
-  Duration took{};  ///< until it ended, or until now
+  Duration elapsed{};  ///< until it ended, or until now
 };
 /// The final answer: nothing more is sent to the client for this query.
 struct Answer {
@@ -184,7 +184,7 @@
   Duration retry_after{};  ///< zero: no advice
   // For the log.
   std::uint32_t class_index{};
-  Duration took{};
+  Duration elapsed{};
   std::vector<AttemptAccount> attempts;
 };
 /// A message of the decision module for the log.
--- a/src/decision/cost_model.cpp
+++ b/src/decision/cost_model.cpp
@@ -80,7 +80,7 @@
 
 void CostModel::learn(const Request& request, const Attempt& attempt, const AttemptEnded& answer) {
   const ClassSettings& settings = state_.settings_of(request);
-  const double run_time = std::max(min_run_time, to_seconds(answer.took));
+  const double run_time = std::max(min_run_time, to_seconds(answer.elapsed));
   const double inferred_work = attempt.had_spare_cores ? run_time * settings.threads : 0.0;
   const double work = answer.work ? to_seconds(*answer.work) : inferred_work;
   if (work > 0 && request.has_cost_estimate) learn_cost(request, work, answer.work.has_value());
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -69,7 +69,7 @@
   if (!rules_.may_send_to(request, engine) || engine.health == Health::ejected) return false;
   if (state_.now < engine.overloaded_until) return false;
   if (engine.health == Health::probation &&
-      (engine.queries > 0 || settings.repeat != Idempotency::idempotent)) {
+      (engine.queries > 0 || settings.idempotency != Idempotency::idempotent)) {
     return false;
   }
   if (engine.threads > 0 && engine.threads + settings.threads > thread_bound(engine)) return false;
--- a/src/decision/ordering_keys.cpp
+++ b/src/decision/ordering_keys.cpp
@@ -32,12 +32,12 @@
 
 void OrderingKeys::visit(StateVisitor& visitor) {
   visit_map(visitor, requests_, [&](std::uint64_t& key, std::vector<RequestId>& requests) {
-    visitor.whole(key);
+    visitor.integer(key);
     visit_sequence(visitor, requests,
                    [&](RequestId& request) { visitor.name(StateVisitor::Name::request, request); });
   });
   visit_map(visitor, settle_until_, [&](std::uint64_t& key, double& time) {
-    visitor.whole(key);
+    visitor.integer(key);
     visitor.until(time);
   });
 }
--- a/src/decision/send_rules.cpp
+++ b/src/decision/send_rules.cpp
@@ -45,8 +45,8 @@
 
 bool SendRules::may_reject(const Request& request) const {
   const ClassSettings& settings = state_.settings_of(request);
-  if (settings.repeat == Idempotency::idempotent) return true;
-  if (settings.repeat == Idempotency::idempotent_with_key &&
+  if (settings.idempotency == Idempotency::idempotent) return true;
+  if (settings.idempotency == Idempotency::idempotent_with_key &&
       settings.idempotency_scope == IdempotencyScope::all) {
     return true;
   }
@@ -73,11 +73,11 @@
 /// the engines drop repeats: otherwise its effect could happen twice.
 bool SendRules::is_repeat_safe(const Request& request, const Engine& engine) const {
   const ClassSettings& settings = state_.settings_of(request);
-  if (settings.repeat == Idempotency::idempotent) return true;
+  if (settings.idempotency == Idempotency::idempotent) return true;
   const auto first = std::find_if(request.attempts.begin(), request.attempts.end(),
                                   [](const Attempt& attempt) { return attempt.may_have_run; });
   if (first == request.attempts.end()) return true;
-  if (settings.repeat == Idempotency::non_idempotent) return false;
+  if (settings.idempotency == Idempotency::non_idempotent) return false;
   const double remembered = to_seconds(settings.idempotency_window) -
                             to_seconds(state_.settings.max_send_delay) - 2 * answer_margin(state_.settings);
   if (state_.now > first->sent_at + remembered) return false;
--- a/src/decision/visit_fields.hpp
+++ b/src/decision/visit_fields.hpp
@@ -16,7 +16,7 @@
 template <typename T>
 void visit_integer(StateVisitor& visitor, T& value) {
   auto raw = static_cast<std::uint64_t>(value);
-  visitor.whole(raw);
+  visitor.integer(raw);
   if (visitor.reads()) value = static_cast<T>(raw);
 }
 
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -34,12 +34,12 @@
   if (answer.begun) fmt::format_to(out, R"(,"begun":true)");
   if (answer.retry_after.count() > 0)
     fmt::format_to(out, R"(,"retry_after_ms":{:.3f})", milliseconds(answer.retry_after));
-  fmt::format_to(out, R"(,"took_ms":{:.3f},"attempts":[)", milliseconds(answer.took));
+  fmt::format_to(out, R"(,"took_ms":{:.3f},"attempts":[)", milliseconds(answer.elapsed));
   std::string_view separator;
   for (const core::AttemptAccount& attempt : answer.attempts) {
     fmt::format_to(out, R"({}{{"engine":{},"result":"{}","at_ms":{:.3f},"took_ms":{:.3f}}})", separator,
                    attempt.engine, outcome_of(attempt), milliseconds(attempt.began),
-                   milliseconds(attempt.took));
+                   milliseconds(attempt.elapsed));
     separator = ",";
   }
   fmt::format_to(out, "]");
@@ -49,10 +49,10 @@
   const auto out = std::back_inserter(line);
   fmt::format_to(out, "answer: query {} class {} {}{} in {:.3f} ms;", answer.query, class_name,
                  name_of(answer.kind), answer.deadline_exceeded ? " (time up)" : "",
-                 milliseconds(answer.took));
+                 milliseconds(answer.elapsed));
   for (const core::AttemptAccount& attempt : answer.attempts) {
     fmt::format_to(out, " engine {} {} after {:.3f} ms;", attempt.engine, outcome_of(attempt),
-                   milliseconds(attempt.took));
+                   milliseconds(attempt.elapsed));
   }
 }
 
--- a/src/platform/client.cpp
+++ b/src/platform/client.cpp
@@ -256,9 +256,9 @@
     if (!is_open()) return;
     if (auto* query = std::get_if<jsonrpc::Query>(&message)) {
       process(std::move(*query));
-    } else if (const auto* cancellation = std::get_if<jsonrpc::Forget>(&message)) {
+    } else if (const auto* cancellation = std::get_if<jsonrpc::CancelRequest>(&message)) {
       process(*cancellation);
-    } else if (const auto* health_check = std::get_if<jsonrpc::WellAsked>(&message)) {
+    } else if (const auto* health_check = std::get_if<jsonrpc::HealthCheck>(&message)) {
       process(*health_check);
     }
   }
@@ -272,7 +272,7 @@
   context_.requests.submit(shared_from_this(), session, std::move(query));
 }
 
-void Client::process(const jsonrpc::Forget& cancellation) {
+void Client::process(const jsonrpc::CancelRequest& cancellation) {
   // Abandoning a request may have others answered at once, which changes open_requests_: they are removed
   // first.
   std::vector<core::SessionId> cancelled;
@@ -289,8 +289,8 @@
   output_.append_finished(LineKind::notice);
 }
 
-void Client::process(const jsonrpc::WellAsked& health_check) {
-  jsonrpc::put_well(output_.text(), health_check.id, context_.lifecycle.is_ready());
+void Client::process(const jsonrpc::HealthCheck& health_check) {
+  jsonrpc::put_health(output_.text(), health_check.id, context_.lifecycle.is_ready());
   output_.append_finished(LineKind::notice);
 }
 
--- a/src/platform/client.hpp
+++ b/src/platform/client.hpp
@@ -82,7 +82,7 @@
   [[nodiscard]] TimePoint last_used() const { return last_used_; }
   [[nodiscard]] std::size_t unwritten_bytes() const { return output_.size(); }
   /// Bytes of input and output that are held for it.
-  [[nodiscard]] std::size_t buffered_bytes() const { return unwritten_bytes() + lines_.kept(); }
+  [[nodiscard]] std::size_t buffered_bytes() const { return unwritten_bytes() + lines_.buffered_bytes(); }
 
  private:
   enum class Phase : std::uint8_t {
@@ -106,8 +106,8 @@
       const std::vector<jsonrpc::Message>& messages) const;
   void process(std::vector<jsonrpc::Message> messages);
   void process(jsonrpc::Query query);
-  void process(const jsonrpc::Forget& cancellation);
-  void process(const jsonrpc::WellAsked& health_check);
+  void process(const jsonrpc::CancelRequest& cancellation);
+  void process(const jsonrpc::HealthCheck& health_check);
   void reject(const std::vector<jsonrpc::Message>& messages, const jsonrpc::Problem& problem);
   [[nodiscard]] bool is_message_overdue(TimePoint now) const;
 
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -190,7 +190,7 @@
   event.number = integer_at(value.get_object(), "cursor");
   const json::object& nodes = object_at(value.get_object(), "nodes");
   const json::value& reset = member(nodes, "reset");
-  event.whole = reset.is_bool() && reset.get_bool();
+  event.is_full_list = reset.is_bool() && reset.get_bool();
   const json::value& instances = member(nodes, "instances");
   if (!instances.is_array()) throw ConfigError{"instances; wanted: a list"};
   for (const json::value& one : instances.get_array()) {
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -2,13 +2,13 @@
 
 namespace paddlestand::platform {
 
-EndpointList::ApplyResult EndpointList::take(const discovery::Event& event, core::EndpointsUpdated& update,
-                                             std::vector<EngineId>& ended_processes) {
+EndpointList::ApplyResult EndpointList::apply(const discovery::Event& event, core::EndpointsUpdated& update,
+                                              std::vector<EngineId>& ended_processes) {
   if (event.number <= last_event_) return ApplyResult::duplicate;
   // A full list needs no event before it.
-  if (!event.whole && event.number != last_event_ + 1) return ApplyResult::gap;
+  if (!event.is_full_list && event.number != last_event_ + 1) return ApplyResult::gap;
   last_event_ = event.number;
-  update.scope = event.whole ? EndpointUpdate::full : EndpointUpdate::delta;
+  update.scope = event.is_full_list ? EndpointUpdate::full : EndpointUpdate::delta;
   std::set<EngineId> listed;
   for (const discovery::Record& record : event.records) {
     const EngineId id = record.entry.engine;
@@ -20,7 +20,7 @@
     update.engines.push_back(record.entry);
     listed.insert(id);
   }
-  if (event.whole) remove_unlisted(listed, ended_processes);
+  if (event.is_full_list) remove_unlisted(listed, ended_processes);
   return ApplyResult::applied;
 }
 
--- a/src/platform/endpoint_list.hpp
+++ b/src/platform/endpoint_list.hpp
@@ -22,8 +22,8 @@
 
   /// Applies an event. `update` gets what it changed, start times counting from 1970; `ended_processes` gets
   /// the engines whose process was removed, moved or restarted.
-  ApplyResult take(const discovery::Event& event, core::EndpointsUpdated& update,
-                   std::vector<EngineId>& ended_processes);
+  ApplyResult apply(const discovery::Event& event, core::EndpointsUpdated& update,
+                    std::vector<EngineId>& ended_processes);
   /// Drops the addresses of removed engines, once nothing can be sent to them any more.
   void forget_removed();
 
--- a/src/platform/engine_answers.cpp
+++ b/src/platform/engine_answers.cpp
@@ -52,7 +52,7 @@
                                                              core::ChannelId channel, EngineStream& stream,
                                                              engine_frames::Answer answer) {
   stream.last_progress = host_.now();
-  const PagedAnswer::Step step = stream.answer.take(std::move(answer));
+  const PagedAnswer::Step step = stream.answer.add(std::move(answer));
   if (const auto* invalid = std::get_if<engine_frames::Broken>(&step))
     return ProtocolError{ProtocolError::Kind::invalid_result, invalid->what};
   if (const auto* more = std::get_if<PagedAnswer::More>(&step)) {
--- a/src/platform/message_batch.cpp
+++ b/src/platform/message_batch.cpp
@@ -12,7 +12,7 @@
 std::optional<jsonrpc::Problem> BatchValidator::find_problem(const std::vector<jsonrpc::Message>& messages) {
   for (const jsonrpc::Message& message : messages) {
     if (const auto* problem = std::get_if<jsonrpc::Problem>(&message)) return *problem;
-    if (const auto* cancellation = std::get_if<jsonrpc::Forget>(&message)) apply(*cancellation);
+    if (const auto* cancellation = std::get_if<jsonrpc::CancelRequest>(&message)) apply(*cancellation);
     const auto* query = std::get_if<jsonrpc::Query>(&message);
     if (query == nullptr) continue;
     if (auto problem = examine(*query)) return problem;
@@ -20,7 +20,7 @@
   return std::nullopt;
 }
 
-void BatchValidator::apply(const jsonrpc::Forget& cancellation) {
+void BatchValidator::apply(const jsonrpc::CancelRequest& cancellation) {
   std::erase_if(load_.open_requests, [&](const auto& request) {
     const auto& [id, trace] = request;
     return cancellation.means(id, trace);
@@ -49,13 +49,13 @@
 std::vector<jsonrpc::Query> extract_cancelled(std::vector<jsonrpc::Message>& messages) {
   std::vector<jsonrpc::Query> cancelled;
   for (std::size_t i = 0; i < messages.size(); ++i) {
-    const auto* cancellation = std::get_if<jsonrpc::Forget>(&messages[i]);
+    const auto* cancellation = std::get_if<jsonrpc::CancelRequest>(&messages[i]);
     if (cancellation == nullptr) continue;
     for (std::size_t earlier = 0; earlier < i; ++earlier) {
       auto* query = std::get_if<jsonrpc::Query>(&messages[earlier]);
       if (query == nullptr || !cancellation->means(query->id, query->trace)) continue;
       cancelled.push_back(std::move(*query));
-      messages[earlier] = jsonrpc::Forget{};  // of nothing
+      messages[earlier] = jsonrpc::CancelRequest{};  // of nothing
     }
   }
   return cancelled;
--- a/src/platform/message_batch.hpp
+++ b/src/platform/message_batch.hpp
@@ -34,7 +34,7 @@
 
  private:
   std::optional<jsonrpc::Problem> examine(const jsonrpc::Query& query);
-  void apply(const jsonrpc::Forget& cancellation);
+  void apply(const jsonrpc::CancelRequest& cancellation);
 
   RequestHandler& requests_;
   ConnectionLoad load_;
--- a/src/platform/paged_answer.cpp
+++ b/src/platform/paged_answer.cpp
@@ -5,7 +5,7 @@
 using engine_frames::Broken;
 using engine_frames::Reply;
 
-PagedAnswer::Step PagedAnswer::take(engine_frames::Answer answer) {
+PagedAnswer::Step PagedAnswer::add(engine_frames::Answer answer) {
   const bool is_started = !pages_.empty();
   switch (answer.code) {
     case Reply::ok:
@@ -39,8 +39,8 @@
 
 PagedAnswer::Step PagedAnswer::add_page(std::size_t index, engine_frames::Answer answer) {
   if (pages_[index]) return Nothing{};
-  if (!engine_frames::whole_rows(answer.body)) return Broken{"a page with a broken row"};
-  if (bytes_ + answer.body.size() > most_result) return Broken{"a result that is too large"};
+  if (!engine_frames::has_complete_rows(answer.body)) return Broken{"a page with a broken row"};
+  if (bytes_ + answer.body.size() > max_result) return Broken{"a result that is too large"};
   bytes_ += answer.body.size();
   pages_[index] = std::move(answer.body);
   if (index == 0) head_ = std::move(answer);
--- a/src/platform/paged_answer.hpp
+++ b/src/platform/paged_answer.hpp
@@ -11,7 +11,7 @@
 
 namespace paddlestand::platform {
 
-inline constexpr std::size_t most_result = 48'000;  ///< bytes, as the protocol bounds it
+inline constexpr std::size_t max_result = 48'000;  ///< bytes, as the protocol bounds it
 
 /// Collects the answers of one attempt until it has ended.
 class PagedAnswer {
@@ -29,7 +29,7 @@
   using Step = std::variant<Nothing, More, Done, engine_frames::Broken>;
 
   /// Adds an answer. `Broken` where it does not fit those before it.
-  Step take(engine_frames::Answer answer);
+  Step add(engine_frames::Answer answer);
 
   /// Whether the query has run and pages of its result are awaited.
   [[nodiscard]] bool paging() const { return !pages_.empty() && missing_pages_ > 0; }
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -105,7 +105,7 @@
 }
 
 void PlatformServer::handle_signals() {
-  const auto signals = service::PendingSignals::take();
+  const auto signals = service::PendingSignals::consume();
   if (signals.reload) reload();
   if (signals.terminate) begin_shutdown();
 }
@@ -123,7 +123,7 @@
 EndpointList::ApplyResult PlatformServer::apply(const discovery::Event& event) {
   core::EndpointsUpdated update;
   std::vector<EngineId> ended_processes;
-  const EndpointList::ApplyResult result = endpoints_.take(event, update, ended_processes);
+  const EndpointList::ApplyResult result = endpoints_.apply(event, update, ended_processes);
   if (result != EndpointList::ApplyResult::applied) return result;
   for (const EngineId engine : ended_processes) engines_.retire_engine(engine);
   engine_starts_.map(now(), update.engines);
--- a/src/platform/request_handler.cpp
+++ b/src/platform/request_handler.cpp
@@ -38,7 +38,7 @@
   request.trace = query.trace;
   request.class_index = query.class_index;
   request.deadline = client->input_time() + query.client_timeout;
-  request.token = std::move(query.nonce);
+  request.token = std::move(query.idempotency_key);
   core::QueryArrived arrived;
   arrived.session = session;
   arrived.query = session;
--- a/src/protocol/discovery/events.cpp
+++ b/src/protocol/discovery/events.cpp
@@ -113,10 +113,12 @@
 
 void put_cursor(std::string& out, std::uint64_t last) { put(out, last); }
 
-void put_beat(std::string& out, std::uint64_t number) { put_header(out, 0, number, FrameKind::heartbeat); }
+void put_heartbeat(std::string& out, std::uint64_t number) {
+  put_header(out, 0, number, FrameKind::heartbeat);
+}
 
 void put_event(std::string& out, const Event& event) {
-  const FrameKind kind = event.whole ? FrameKind::full_list : FrameKind::changes;
+  const FrameKind kind = event.is_full_list ? FrameKind::full_list : FrameKind::changes;
   put_header(out, event.records.size() * record_bytes, event.number, kind);
   for (const Record& record : event.records) put_record(out, record);
 }
@@ -124,7 +126,7 @@
 std::variant<std::monostate, Heartbeat, Event, Broken> EventReader::next() {
   if (bytes_.size() < length_bytes) return {};
   const std::size_t length = load<std::uint32_t>(bytes_, 0);
-  if (length < header_bytes || length > most_frame)
+  if (length < header_bytes || length > max_frame)
     return Broken{"a frame of " + std::to_string(length) + " bytes"};
   if (bytes_.size() < length_bytes + length) return {};
   const std::string_view frame = std::string_view(bytes_).substr(length_bytes, length);
@@ -136,7 +138,7 @@
   if (auto* broken = std::get_if<Broken>(&payload)) return std::move(*broken);
   Event event;
   event.number = load<std::uint64_t>(frame, 0);
-  event.whole = kind == FrameKind::full_list;
+  event.is_full_list = kind == FrameKind::full_list;
   event.records = std::move(std::get<std::vector<Record>>(payload));
   bytes_.erase(0, length_bytes + length);
   if (kind == FrameKind::heartbeat) return Heartbeat{};
--- a/src/protocol/discovery/events.hpp
+++ b/src/protocol/discovery/events.hpp
@@ -5,7 +5,7 @@
 ///   length:4 number:8 kind:1 payload      length counts all that follows it; kind 0 heartbeat, 1 full list,
 ///                                         2 changes; the payload is records of 27 bytes
 ///
-/// No I/O, not thread-safe. A reader buffers at most one frame, up to most_frame bytes, and what was fed with
+/// No I/O, not thread-safe. A reader buffers at most one frame, up to max_frame bytes, and what was fed with
 /// it.
 #pragma once
 
@@ -20,8 +20,8 @@
 namespace paddlestand::discovery {
 
 inline constexpr std::size_t record_bytes = 27;
-inline constexpr std::size_t most_records = 16384;
-inline constexpr std::size_t most_frame = 9 + most_records * record_bytes;
+inline constexpr std::size_t max_records = 16384;
+inline constexpr std::size_t max_frame = 9 + max_records * record_bytes;
 
 /// One engine in an event.
 struct Record {
@@ -33,7 +33,7 @@
 /// One numbered change of the list.
 struct Event {
   std::uint64_t number{};
-  bool whole{};  ///< the full list, not only what changed
+  bool is_full_list{};  ///< the full list, not only what changed
   std::vector<Record> records;
 };
 
@@ -50,7 +50,7 @@
 /// Appends an event's frame.
 void put_event(std::string& out, const Event& event);
 /// Appends a heartbeat's frame.
-void put_beat(std::string& out, std::uint64_t number);
+void put_heartbeat(std::string& out, std::uint64_t number);
 
 /// Reads what the discovery channel sends.
 class EventReader {
--- a/src/protocol/engine_frames/frames.cpp
+++ b/src/protocol/engine_frames/frames.cpp
@@ -88,9 +88,9 @@
 void FrameReader::discard_consumed() {
   if (consumed_ == bytes_.size()) {
     bytes_.clear();
-    if (bytes_.capacity() > 4 * most_page) bytes_.shrink_to_fit();  // there are hundreds of readers
+    if (bytes_.capacity() > 4 * max_page) bytes_.shrink_to_fit();  // there are hundreds of readers
     consumed_ = 0;
-  } else if (consumed_ > most_page) {
+  } else if (consumed_ > max_page) {
     bytes_.erase(0, consumed_);
     consumed_ = 0;
   }
@@ -111,8 +111,8 @@
   if (unread.size() < offset::id) return {};
   const std::size_t fields = load<std::uint16_t>(unread.data() + offset::fields);
   const std::size_t body = load<std::uint32_t>(unread.data() + offset::body);
-  if (fields > most_fields) return Broken{"fields of " + std::to_string(fields) + " bytes"};
-  if (body > (from_ == Side::engine ? most_page : most_statement))
+  if (fields > max_fields) return Broken{"fields of " + std::to_string(fields) + " bytes"};
+  if (body > (from_ == Side::engine ? max_page : max_statement))
     return Broken{"a body of " + std::to_string(body) + " bytes"};
   const std::size_t frame_bytes = head_bytes + fields + body + check_bytes;
   if (unread.size() < frame_bytes) return {};
@@ -211,12 +211,12 @@
 std::optional<Broken> read_paging(std::string_view fields, Answer& answer) {
   if (const auto text = field(fields, "parts")) {
     const auto pages = count_in(*text);
-    if (!pages || *pages < 1 || *pages > most_pages) return Broken{"an impossible number of pages"};
+    if (!pages || *pages < 1 || *pages > max_pages) return Broken{"an impossible number of pages"};
     answer.pages = *pages;
   }
   if (const auto text = field(fields, "part_no")) {
     const auto page = count_in(*text);
-    if (!page || *page >= most_pages) return Broken{"an impossible page"};
+    if (!page || *page >= max_pages) return Broken{"an impossible page"};
     answer.page = *page;
   }
   if (answer.code == Reply::page && answer.page == 0) return Broken{"a further page without its number"};
@@ -242,7 +242,7 @@
   return answer;
 }
 
-bool whole_rows(std::string_view page) {
+bool has_complete_rows(std::string_view page) {
   while (!page.empty()) {
     const auto end = page.find('\n');
     if (end == std::string_view::npos || std::count(page.begin(), page.begin() + end, '\t') != 2)
--- a/src/protocol/engine_frames/frames.hpp
+++ b/src/protocol/engine_frames/frames.hpp
@@ -22,10 +22,10 @@
 namespace paddlestand::engine_frames {
 
 inline constexpr std::size_t head_bytes = 16, check_bytes = 4;
-inline constexpr std::size_t most_fields = 2048;
-inline constexpr std::size_t most_page = 6000;  ///< bytes of a page of a result
-inline constexpr std::size_t most_statement = std::size_t{256} * 1024;  ///< bytes of a request's body
-inline constexpr std::uint32_t most_pages = 64;  ///< of a result
+inline constexpr std::size_t max_fields = 2048;
+inline constexpr std::size_t max_page = 6000;  ///< bytes of a page of a result
+inline constexpr std::size_t max_statement = std::size_t{256} * 1024;  ///< bytes of a request's body
+inline constexpr std::uint32_t max_pages = 64;  ///< of a result
 
 /// Who wrote a frame: its mark.
 enum class Side : std::uint8_t { manager = 128, engine = 129 };
@@ -123,7 +123,7 @@
 std::variant<Answer, Broken> read_answer(Frame frame);
 
 /// Whether a page consists of complete rows, each of three columns.
-bool whole_rows(std::string_view page);
+bool has_complete_rows(std::string_view page);
 
 /// The value of a name in name=value,name=value, if it is there.
 std::optional<std::string_view> field(std::string_view fields, std::string_view name);
--- a/src/protocol/jsonrpc/calls.cpp
+++ b/src/protocol/jsonrpc/calls.cpp
@@ -118,12 +118,12 @@
   }
 
   Wanted read_idempotency_key(Query& query) const {
-    if (class_.repeat != Idempotency::idempotent_with_key) return std::nullopt;
+    if (class_.idempotency != Idempotency::idempotent_with_key) return std::nullopt;
     constexpr std::string_view wanted = "nonce; wanted: 32 hex digits";
     const json::value* value = find("nonce");
     if (value == nullptr || !value->is_string()) return wanted;
-    query.nonce = std::string_view(value->get_string());
-    if (!hex_digits(query.nonce, idempotency_key_digits)) return wanted;
+    query.idempotency_key = std::string_view(value->get_string());
+    if (!hex_digits(query.idempotency_key, idempotency_key_digits)) return wanted;
     return std::nullopt;
   }
 
@@ -183,8 +183,8 @@
   const std::vector<TenantSettings>& tenants_;
 };
 
-Forget read_forget(std::optional<std::int64_t> id, const json::value* parameters) {
-  Forget forget;
+CancelRequest read_cancel_request(std::optional<std::int64_t> id, const json::value* parameters) {
+  CancelRequest forget;
   forget.id = id;
   if (parameters == nullptr || !parameters->is_object()) return forget;
   forget.trace = hex_number(parameters->get_object().if_contains("trace"));
@@ -217,9 +217,9 @@
     return problem(id, Code::invalid_request, "method; wanted: a class's name");
   const std::string_view name(method->get_string());
   const json::value* parameters = message.if_contains("params");
-  if (name == "forget") return read_forget(id, parameters);
+  if (name == "forget") return read_cancel_request(id, parameters);
   if (!id) return problem({}, Code::invalid_request, "id; wanted: a number that counts from 1");
-  if (name == "isWell") return WellAsked{*id};
+  if (name == "isWell") return HealthCheck{*id};
   return read_query(*id, name, parameters);
 }
 
@@ -302,7 +302,7 @@
   out += "}}\n";
 }
 
-void put_well(std::string& out, std::int64_t id, bool is_ready) {
+void put_health(std::string& out, std::int64_t id, bool is_ready) {
   put_id(out, id);
   out += is_ready ? ",\"result\":{\"green\":true}}\n" : ",\"result\":{\"green\":false}}\n";
 }
--- a/src/protocol/jsonrpc/calls.hpp
+++ b/src/protocol/jsonrpc/calls.hpp
@@ -39,14 +39,14 @@
   std::uint64_t trace{};
   Duration client_timeout{};
   bool repeated{};  ///< the client has sent it before
-  std::string nonce;  ///< idempotency key, for classes that need one
+  std::string idempotency_key;  ///< for classes that need one
   std::optional<Duration> cost;  ///< estimated work
   double memory_mb{};  ///< zero: unknown
   std::uint64_t ordering_key{};  ///< for classes that keep order; zero: none
   std::string statement;
 };
 /// The client cancels a request; no answer is owed for it.
-struct Forget {
+struct CancelRequest {
   std::optional<std::int64_t> id;  ///< of this message, where it wants an answer itself
   std::optional<std::int64_t> request;
   std::optional<std::uint64_t> trace;
@@ -58,7 +58,7 @@
 };
 
 /// A health check of the manager.
-struct WellAsked {
+struct HealthCheck {
   std::int64_t id{};
 };
 
@@ -69,7 +69,7 @@
   std::string text;
 };
 
-using Message = std::variant<Query, Forget, WellAsked, Problem>;
+using Message = std::variant<Query, CancelRequest, HealthCheck, Problem>;
 
 /// Reads messages of clients. The classes and tenants are borrowed and must outlive it.
 class CallReader {
@@ -107,7 +107,7 @@
   /// Whether part of a line is here and its end is awaited.
   [[nodiscard]] bool inside() const { return at_ < bytes_.size(); }
   /// Bytes that are buffered.
-  [[nodiscard]] std::size_t kept() const { return bytes_.size(); }
+  [[nodiscard]] std::size_t buffered_bytes() const { return bytes_.size(); }
 
  private:
   void give_up_line();
@@ -126,7 +126,7 @@
 void put_error(std::string& out, std::optional<std::int64_t> id, Code code, std::string_view text,
                Duration pause = {});
 /// Appends the answer of a health check.
-void put_well(std::string& out, std::int64_t id, bool is_ready);
+void put_health(std::string& out, std::int64_t id, bool is_ready);
 /// Appends the answer of a cancel that wants one.
 void put_done(std::string& out, std::int64_t id);
 
--- a/src/protocol/pg/extended_batch.cpp
+++ b/src/protocol/pg/extended_batch.cpp
@@ -44,8 +44,8 @@
 // ---- Parse ----
 
 bool ExtendedBatch::has_capacity(std::size_t text_bytes) const {
-  return statements_.size() + parsed_.size() < limits_.most_statements &&
-         statements_.text_bytes() + text_bytes <= limits_.most_statement_bytes;
+  return statements_.size() + parsed_.size() < limits_.max_statements &&
+         statements_.text_bytes() + text_bytes <= limits_.max_statement_bytes;
 }
 
 std::optional<Fields> ExtendedBatch::check_new_statement(const std::string& name,
@@ -58,7 +58,7 @@
     return error("42P05", "prepared statement \"" + name + "\" already exists");
   if (!has_capacity(text.size())) {
     return error("54000", "too many prepared statements in this session; wanted: at most " +
-                              std::to_string(limits_.most_statements));
+                              std::to_string(limits_.max_statements));
   }
   return std::nullopt;
 }
--- a/src/protocol/pg/frontend_session.cpp
+++ b/src/protocol/pg/frontend_session.cpp
@@ -66,7 +66,7 @@
 
 FrontendEvent FrontendSession::complete_login() {
   // From here on messages may be large; those sent before the login was complete are kept.
-  FrameReader frames(limits_.most_message);
+  FrameReader frames(limits_.max_message);
   frames.feed(frames_.extract_buffered());
   frames_ = std::move(frames);
   state_ = State::ready;
@@ -196,8 +196,8 @@
     reject_batch(*problem);
     return;
   }
-  if (batch_->query_bytes() > limits_.most_batch)
-    reject_batch(error("54000", "more than " + std::to_string(limits_.most_batch) + " bytes before a Sync"));
+  if (batch_->query_bytes() > limits_.max_batch)
+    reject_batch(error("54000", "more than " + std::to_string(limits_.max_batch) + " bytes before a Sync"));
 }
 
 std::optional<Fields> FrontendSession::add_to_batch(const Frame& frame) {
--- a/src/protocol/pg/statements.cpp
+++ b/src/protocol/pg/statements.cpp
@@ -86,7 +86,7 @@
 
 std::optional<Fields> find_unsupported(const sql::Scanned& scanned) {
   if (scanned.too_many)
-    return error("54000", "more than " + std::to_string(sql::most_statements) + " statements in one query");
+    return error("54000", "more than " + std::to_string(sql::max_statements) + " statements in one query");
   for (const sql::Statement& statement : scanned.statements) {
     if (const auto kind = unsupported_kind(statement.words))
       return error("0A000", std::string(*kind) + " is not carried by this workload manager");
--- a/src/protocol/sql/scan.cpp
+++ b/src/protocol/sql/scan.cpp
@@ -103,7 +103,7 @@
   void finish_statement() {
     if (any_) {
       current_.text = text_.substr(start_, at_ - start_);
-      if (found_.statements.size() < most_statements) {
+      if (found_.statements.size() < max_statements) {
         found_.statements.push_back(std::move(current_));
       } else {
         found_.too_many = true;
@@ -128,7 +128,7 @@
         ++at_;
       }
     }
-    if (depth == 0 && found_.comments.size() < most_words) {
+    if (depth == 0 && found_.comments.size() < default_max_words) {
       found_.comments.push_back(text_.substr(from, at_ - 2 - from));
     }
   }
--- a/src/protocol/sql/scan.hpp
+++ b/src/protocol/sql/scan.hpp
@@ -24,10 +24,10 @@
   bool too_many = false;  ///< there are more statements than are scanned
 };
 
-inline constexpr std::size_t most_statements = 1000;
-inline constexpr std::size_t most_words = 8;
+inline constexpr std::size_t max_statements = 1000;
+inline constexpr std::size_t default_max_words = 8;
 
 /// Scans a text; keeps at most so many words of each statement.
-Scanned scan(std::string_view text, std::size_t words = most_words);
+Scanned scan(std::string_view text, std::size_t words = default_max_words);
 
 }  // namespace paddlestand::sql
--- a/src/protocol/sql/tags.cpp
+++ b/src/protocol/sql/tags.cpp
@@ -38,7 +38,7 @@
 
 Tags read_tags(std::string_view comment) {
   Tags tags;
-  std::string_view unread = trim(comment.substr(0, most_tag_bytes));
+  std::string_view unread = trim(comment.substr(0, max_tag_bytes));
   while (!unread.empty()) {
     const auto equals = unread.find('=');
     if (equals == std::string_view::npos || equals + 1 >= unread.size() || unread[equals + 1] != '\'')
@@ -49,7 +49,7 @@
     while (end < unread.size() && unread[end] != '\'') end += unread[end] == '\\' ? 2 : 1;
     if (end >= unread.size()) return {};
     tags.emplace_back(decode(key), decode(unread.substr(equals + 2, end - equals - 2)));
-    if (tags.size() > most_tags) return {};
+    if (tags.size() > max_tags) return {};
     unread = trim(unread.substr(end + 1));
     if (unread.empty()) break;
     if (unread.front() != ',') return {};
--- a/src/protocol/sql/tags.hpp
+++ b/src/protocol/sql/tags.hpp
@@ -13,8 +13,8 @@
 
 using Tags = std::vector<std::pair<std::string, std::string>>;
 
-inline constexpr std::size_t most_tags = 32;
-inline constexpr std::size_t most_tag_bytes = 4096;
+inline constexpr std::size_t max_tags = 32;
+inline constexpr std::size_t max_tag_bytes = 4096;
 
 /// The tags of one comment's inside; empty where it holds none, or more than max allowed.
 Tags read_tags(std::string_view comment);
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -48,7 +48,7 @@
       reload_retry_(io, reload_limits, [this] {
         if (!stopped_) reload();
       }) {
-  frontend_settings_.most_message = config_.listen.most_message;
+  frontend_settings_.max_message = config_.listen.max_message;
 }
 
 PostgresServer::~PostgresServer() = default;
@@ -144,7 +144,7 @@
 // ---- Sessions ----
 
 void PostgresServer::accept_connection(tcp::socket socket) {
-  if (state_ == State::shutting_down || sessions_.size() >= config_.listen.most_sessions) {
+  if (state_ == State::shutting_down || sessions_.size() >= config_.listen.max_sessions) {
     reject_connection(std::move(socket));
     return;
   }
@@ -156,7 +156,7 @@
   auto error = state_ == State::shutting_down
                    ? pg::error("57P01", "the workload manager is leaving", "repeat=harmless")
                    : pg::error("53300", "too many sessions; wanted: at most " +
-                                            std::to_string(config_.listen.most_sessions));
+                                            std::to_string(config_.listen.max_sessions));
   error.severity = "FATAL";
   closer_.reject(StreamSocket(std::move(socket)), error);
 }
@@ -276,7 +276,7 @@
   std::uint32_t interrupts = 0;
   while (!stopped_) {
     co_await pause_for(io_, signal_period);
-    const auto signals = PendingSignals::take();
+    const auto signals = PendingSignals::consume();
     // A second Ctrl-C stops at once; a second SIGTERM changes nothing.
     if (state_ == State::shutting_down && signals.interrupts > std::max(interrupts, 1U)) {
       stop();
@@ -294,9 +294,10 @@
   listener_.close_when_drained();
   log_.info(observe::LogEvent::shutdown_started, "answering what is held");
   for (const auto& session : sessions_.all()) session->begin_shutdown();
-  dispatch(core::BeginShutdown{config_.leave_grace});
+  dispatch(core::BeginShutdown{config_.shutdown_grace_period});
   // Attempts that an engine neither ends nor cancels are not waited for beyond this.
-  run_after(io_, config_.leave_grace + config_.core.cancel_grace + shutdown_margin, [this] { stop(); });
+  run_after(io_, config_.shutdown_grace_period + config_.core.cancel_grace + shutdown_margin,
+            [this] { stop(); });
 }
 
 }  // namespace paddlestand::service
--- a/src/service/signals.cpp
+++ b/src/service/signals.cpp
@@ -31,8 +31,8 @@
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-PendingSignals::Taken PendingSignals::take() {
-  Taken pending;
+PendingSignals::Received PendingSignals::consume() {
+  Received pending;
   pending.terminate = terminations.exchange(0) > 0;
   pending.reload = reloads.exchange(0) > 0;
   pending.interrupts = interrupts.load();
--- a/src/service/signals.hpp
+++ b/src/service/signals.hpp
@@ -11,13 +11,13 @@
   /// Installs the process's handlers. SIGPIPE is ignored: a log that nobody reads must not end the process.
   static void install();
 
-  struct Taken {
+  struct Received {
     bool terminate = false;  ///< SIGTERM or SIGINT
     std::uint32_t interrupts = 0;  ///< SIGINT, since the start: a second Ctrl-C asks to stop at once
     bool reload = false;  ///< SIGHUP
   };
   /// The signals since the last call. For one host in a process.
-  static Taken take();
+  static Received consume();
 };
 
 }  // namespace paddlestand::service
--- a/test_engine/main.cpp
+++ b/test_engine/main.cpp
@@ -32,7 +32,7 @@
   app.add_option("--cores", shape.cores);
   app.add_option("--memory-mb", shape.memory_mb);
   app.add_option("--speed", shape.speed, "Of a core; 10: all work takes a tenth of its time");
-  app.add_option("--most-jobs", shape.most_jobs);
+  app.add_option("--most-jobs", shape.max_jobs);
   app.add_option("--memory-shortage", options.memory_shortage)
       ->check(CLI::IsMember({"wait", "spill", "page"}));
   app.add_option("--cold-share", shape.slow_start_capacity_share);
--- a/tests/bench_adapter/wire_test.cpp
+++ b/tests/bench_adapter/wire_test.cpp
@@ -276,7 +276,7 @@
   const Settings& s = std::get<config::ParsedSettings>(parsed).settings;
   ASSERT_EQ(s.classes.size(), 1U);
   EXPECT_EQ(s.classes[0].latency_objective, std::chrono::seconds(1));
-  EXPECT_EQ(s.classes[0].repeat, Idempotency::idempotent);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::idempotent);
   EXPECT_EQ(s.max_attempts, 3U);
   EXPECT_FALSE(s.retry_budget.has_value());
   EXPECT_FALSE(s.classes[0].allowed_kinds.has_value());
--- a/tests/core/coordinator_harness.hpp
+++ b/tests/core/coordinator_harness.hpp
@@ -25,12 +25,12 @@
   lookup.threads = 1;
   ClassSettings load = lookup;
   load.name = "load";
-  load.repeat = Idempotency::idempotent_with_key;
+  load.idempotency = Idempotency::idempotent_with_key;
   load.idempotency_window = 20s;
   load.ordered_by_key = true;
   ClassSettings settle = lookup;
   settle.name = "settle";
-  settle.repeat = Idempotency::non_idempotent;
+  settle.idempotency = Idempotency::non_idempotent;
   return {lookup, load, settle};
 }
 
@@ -72,7 +72,7 @@
  public:
   void clock(double&) override {}
   void number(double&) override {}
-  void whole(std::uint64_t&) override {}
+  void integer(std::uint64_t&) override {}
   void since(double&) override {}
   void until(double&) override {}
   void name(Name, std::uint64_t&) override {}
--- a/tests/core/query_coordinator_test.cpp
+++ b/tests/core/query_coordinator_test.cpp
@@ -45,7 +45,7 @@
   EXPECT_EQ(answer.kind, AnswerKind::failed);
   EXPECT_TRUE(answer.begun);
   EXPECT_TRUE(answer.deadline_exceeded);
-  EXPECT_LT(answer.took, 5s);
+  EXPECT_LT(answer.elapsed, 5s);
   EXPECT_TRUE(harness.emitted<CancelOnEngine>(channel));
   EXPECT_TRUE(harness.emitted<CloseChannel>(channel));
 
@@ -336,7 +336,7 @@
       text += std::to_string(action.index()) + ",";
       if (const auto* send = std::get_if<SendQuery>(&action)) text += std::to_string(send->channel) + ";";
       if (const auto* answer = std::get_if<Answer>(&action))
-        text += std::to_string(answer->query) + ":" + std::to_string(answer->took.count()) + ";";
+        text += std::to_string(answer->query) + ":" + std::to_string(answer->elapsed.count()) + ";";
     }
     EXPECT_EQ(harness.counts().queries_open, 0U);
     EXPECT_EQ(harness.counts().attempts_out, 0U);
--- a/tests/core/stream_table_test.cpp
+++ b/tests/core/stream_table_test.cpp
@@ -58,14 +58,14 @@
 TEST(StreamTable, RememberedIdsAreBounded) {
   StreamTable table;
 
-  for (StreamId id = 0; id < most_ids_of_a_connection; ++id) {
+  for (StreamId id = 0; id < max_ids_of_a_connection; ++id) {
     ASSERT_FALSE(table.exhausted());
     ASSERT_TRUE(table.reserve(id, id + 1));
     table.close(id);
   }
 
   EXPECT_TRUE(table.exhausted());
-  EXPECT_FALSE(table.may_carry(most_ids_of_a_connection));
+  EXPECT_FALSE(table.may_carry(max_ids_of_a_connection));
 }
 
 // ---- WireAttempts ----
--- a/tests/decision/cost_model_test.cpp
+++ b/tests/decision/cost_model_test.cpp
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 
-AttemptEnded answer(Duration took, std::optional<Duration> work) {
+AttemptEnded answer(Duration elapsed, std::optional<Duration> work) {
   AttemptEnded event;
   event.result = AttemptResult::served;
-  event.took = took;
+  event.elapsed = elapsed;
   event.work = work;
   return event;
 }
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -28,7 +28,7 @@
 
 TEST(LoadBalancer, AnEngineOnProbationGetsOneIdempotentRequestAtATime) {
   Settings settings = test::small_site();
-  settings.classes[1].repeat = Idempotency::non_idempotent;
+  settings.classes[1].idempotency = Idempotency::non_idempotent;
   DecisionFixture fixture(settings);
   Engine& engine = fixture.add_engine(1);
   engine.health = Health::probation;
--- a/tests/decision/manager_harness.hpp
+++ b/tests/decision/manager_harness.hpp
@@ -90,7 +90,7 @@
     event.attempt = attempts_.at(id) - 1;
     event.engine = engine_of(id);
     event.result = result;
-    event.took = work;
+    event.elapsed = work;
     event.request_over = result == AttemptResult::served;
     if (result == AttemptResult::served) event.work = work;
     handle(event);
--- a/tests/decision/manager_state_test.cpp
+++ b/tests/decision/manager_state_test.cpp
@@ -22,7 +22,7 @@
   [[nodiscard]] bool reads() const override { return reads_; }
   void clock(double& now) override { number(now); }
   void number(double& value) override { transfer(value); }
-  void whole(std::uint64_t& value) override { transfer(value); }
+  void integer(std::uint64_t& value) override { transfer(value); }
   void since(double& time) override { transfer(time); }
   void until(double& time) override { transfer(time); }
   void name(Name, std::uint64_t& id) override { transfer(id); }
--- a/tests/decision/random_traffic_test.cpp
+++ b/tests/decision/random_traffic_test.cpp
@@ -25,9 +25,9 @@
   settings.instances = 2;
   settings.retry_budget = RetryBudgetSettings{3, 0.2, 2s};
   settings.ordering_settle_time = 100ms;
-  settings.classes[non_idempotent_class].repeat = Idempotency::non_idempotent;
+  settings.classes[non_idempotent_class].idempotency = Idempotency::non_idempotent;
   ClassSettings keyed = settings.classes[0];
-  keyed.repeat = Idempotency::idempotent_with_key;
+  keyed.idempotency = Idempotency::idempotent_with_key;
   keyed.idempotency_window = 2s;
   keyed.ordered_by_key = true;
   settings.classes.push_back(keyed);
@@ -82,7 +82,7 @@
     event.request = id;
     event.attempt = static_cast<std::uint32_t>(attempt);
     event.result = static_cast<AttemptResult>(draw(10) < 5 ? 0 : draw(8));
-    event.took = 50ms;
+    event.elapsed = 50ms;
     track_end(request, attempt, event.result);
     event.request_over = request.is_over;
     harness_.handle(event);
@@ -132,7 +132,7 @@
     ASSERT_LT(request.in_flight.size(), settings_.max_attempts);
     const bool may_have_run = contains_true(request.may_have_run);
     if (may_have_run) {
-      ASSERT_NE(settings_.classes[request.class_index].repeat, Idempotency::non_idempotent);
+      ASSERT_NE(settings_.classes[request.class_index].idempotency, Idempotency::non_idempotent);
     }
     if (may_have_run && request.class_index == keyed_class) {
       ASSERT_LE(at, request.first_uncertain_send + 2s);
--- a/tests/decision/rules_test.cpp
+++ b/tests/decision/rules_test.cpp
@@ -23,7 +23,7 @@
 
 TEST(IdempotencyRule, NonIdempotentWorkThatMayHaveRunFailsAndIsNeitherRetriedNorRejected) {
   Settings settings = small_site();
-  settings.classes[0].repeat = Idempotency::non_idempotent;
+  settings.classes[0].idempotency = Idempotency::non_idempotent;
   for (const AttemptResult result : {AttemptResult::engine_error, AttemptResult::reset,
                                      AttemptResult::timed_out, AttemptResult::cancelled}) {
     ManagerHarness harness(settings);
@@ -38,7 +38,7 @@
 
 TEST(IdempotencyRule, NonIdempotentWorkThatDidNotRunIsRetried) {
   Settings settings = small_site();
-  settings.classes[0].repeat = Idempotency::non_idempotent;
+  settings.classes[0].idempotency = Idempotency::non_idempotent;
   ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2)});
   harness.request(1);
@@ -48,7 +48,7 @@
 
 TEST(IdempotencyRule, WorkWithAKeyIsRetriedOnlyInItsScope) {
   Settings settings = small_site();
-  settings.classes[0].repeat = Idempotency::idempotent_with_key;
+  settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_scope = IdempotencyScope::cell;
   settings.classes[0].idempotency_window = 5s;
   ManagerHarness harness(settings);
@@ -66,7 +66,7 @@
 
 TEST(IdempotencyRule, WorkWithAKeyIsNotRetriedAfterItsWindow) {
   Settings settings = small_site();
-  settings.classes[0].repeat = Idempotency::idempotent_with_key;
+  settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_window = 1s;
   settings.classes[0].latency_objective = 10s;
   ManagerHarness harness(settings);
@@ -130,7 +130,7 @@
 TEST(OrderingRule, AKeySettlesAfterAnAttemptThatMayStillRun) {
   Settings settings = small_site();
   settings.classes[0].ordered_by_key = true;
-  settings.classes[0].repeat = Idempotency::non_idempotent;
+  settings.classes[0].idempotency = Idempotency::non_idempotent;
   settings.ordering_settle_time = 500ms;
   ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2)});
--- a/tests/decision/send_rules_test.cpp
+++ b/tests/decision/send_rules_test.cpp
@@ -47,7 +47,7 @@
 
 TEST(SendRules, NonIdempotentWorkThatMayHaveRunIsNeitherRepeatedNorRejected) {
   Settings settings = test::small_site();
-  settings.classes[0].repeat = Idempotency::non_idempotent;
+  settings.classes[0].idempotency = Idempotency::non_idempotent;
   DecisionFixture fixture(settings);
   const Engine& engine = fixture.add_engine(1);
   Request& request = add_request_that_may_have_run(fixture);
@@ -63,7 +63,7 @@
 
 TEST(SendRules, WorkWithAnIdempotencyKeyIsRepeatedOnlyWhereAndWhileRepeatsAreDropped) {
   Settings settings = test::small_site();
-  settings.classes[0].repeat = Idempotency::idempotent_with_key;
+  settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_scope = IdempotencyScope::cell;
   settings.classes[0].idempotency_window = 2s;
   DecisionFixture fixture(settings);
--- a/tests/faults/clients.cpp
+++ b/tests/faults/clients.cpp
@@ -21,7 +21,7 @@
     700 * millisecond;  // beyond the client's client timeout: 0.5 s, and the machine's own
 constexpr std::int64_t rest_life = 3800 * millisecond;  // clients close what was idle for 4 s
 constexpr std::int64_t crowd_period = 100 * millisecond;  // between new idle connections, one to each manager
-constexpr std::uint32_t most_open = 8;
+constexpr std::uint32_t max_open = 8;
 constexpr double chance_cancel = 0.04, chance_leave = 0.02, chance_slow = 0.02, chance_burst = 0.05;
 
 struct Open {
@@ -117,11 +117,11 @@
     for (Seat& seat : seats_) {
       if (seat.manager != manager || seat.silent) continue;
       ++all;
-      if (seat.rest.empty() && seat.open.size() < most_open && !ended_meanwhile(seat)) free.push_back(&seat);
+      if (seat.rest.empty() && seat.open.size() < max_open && !ended_meanwhile(seat)) free.push_back(&seat);
     }
-    if (!free.empty() && (all >= options_.most_connections || share() < 0.9))
+    if (!free.empty() && (all >= options_.max_connections || share() < 0.9))
       return free[std::uniform_int_distribution<std::size_t>(0, free.size() - 1)(random_)];
-    if (shunned_[manager] || all >= options_.most_connections) return nullptr;
+    if (shunned_[manager] || all >= options_.max_connections) return nullptr;
     auto made = Connection::connect(options_.managers[manager]);
     if (!made) return nullptr;
     seats_.emplace_back(std::move(*made), manager);
--- a/tests/faults/discovery.cpp
+++ b/tests/faults/discovery.cpp
@@ -109,7 +109,7 @@
     watch.told = event.number;
   }
   if (now >= watch.beat_at) {
-    discovery::put_beat(bytes, watch.told);
+    discovery::put_heartbeat(bytes, watch.told);
     watch.beat_at = now + heartbeat_period;
   }
   watch.connection.queue(bytes);
--- a/tests/faults/engine.cpp
+++ b/tests/faults/engine.cpp
@@ -23,7 +23,7 @@
 constexpr double chance_over = 0.02, chance_copy = 0.05, chance_late_answer = 0.05, chance_unknown_page = 0.1;
 constexpr std::int64_t longest_copy_delay_ms = 40;
 constexpr unsigned deaf_step_us = 5000;
-constexpr std::int64_t least_work_ms = 2, most_work_ms = 60;
+constexpr std::int64_t least_work_ms = 2, max_work_ms = 60;
 
 struct Peer {
   explicit Peer(Connection made) : connection(std::move(made)), frames(engine_frames::Side::manager) {}
@@ -201,7 +201,7 @@
     event.port = place->number;
     log_.write(event);
     place->out.insert(frame.id);
-    const auto work = std::uniform_int_distribution<std::int64_t>(least_work_ms, most_work_ms)(random_);
+    const auto work = std::uniform_int_distribution<std::int64_t>(least_work_ms, max_work_ms)(random_);
     due_.emplace(monotonic_now() + work * millisecond, Due{place, frame.id});
   }
 
--- a/tests/faults/processes.hpp
+++ b/tests/faults/processes.hpp
@@ -32,7 +32,7 @@
   std::uint32_t number = 0;
   std::uint64_t seed = 1;
   double requests_per_s = 50;
-  std::uint32_t most_connections = 4;  // to each manager
+  std::uint32_t max_connections = 4;  // to each manager
   std::uint32_t idle_connections = 0;  // that say nothing and stay, to each manager: a crowd
   bool misbehaves = false;  // cancels, leaves, writes slowly
 };
--- a/tests/faults/run.cpp
+++ b/tests/faults/run.cpp
@@ -465,8 +465,8 @@
     facts.crowded = profile_.crowd > 0;
     Verdict verdict = judge(all_events(), facts);
     for (const std::string& line : own_violations()) verdict.violations.push_back(line);
-    constexpr std::size_t most_lines = 20;
-    for (std::size_t i = 0; i < std::min(most_lines, verdict.violations.size()); ++i)
+    constexpr std::size_t max_lines = 20;
+    for (std::size_t i = 0; i < std::min(max_lines, verdict.violations.size()); ++i)
       std::cout << verdict.violations[i] << "\n";
     std::cout << "profile " << profile_.name << " seed " << options_.seed << ": " << verdict.asked
               << " asked, " << verdict.served << " served, " << verdict.rejected << " refused, "
--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -12,7 +12,7 @@
  protected:
   PlatformConfig non_idempotent_config() {
     PlatformConfig settings = config();
-    settings.core.module.classes[0].repeat = Idempotency::non_idempotent;
+    settings.core.module.classes[0].idempotency = Idempotency::non_idempotent;
     settings.core.module.may_cancel = false;  // attempts stay out, however long a test takes
     return settings;
   }
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -58,7 +58,7 @@
   EXPECT_EQ(settings.classes[0].deadline, 7500ms);
   EXPECT_EQ(settings.kinds[1].cores, 8);
   ASSERT_EQ(config.known.size(), 1U);
-  EXPECT_TRUE(config.known[0].whole);
+  EXPECT_TRUE(config.known[0].is_full_list);
 
   const auto& record = config.known[0].records.at(0);
   EXPECT_EQ(record.entry.engine, 0x00c41f7aU);
--- a/tests/platform/discovery_events_test.cpp
+++ b/tests/platform/discovery_events_test.cpp
@@ -14,7 +14,7 @@
                        EngineState state = EngineState::ready) {
   discovery::Event out;
   out.number = number;
-  out.whole = whole;
+  out.is_full_list = whole;
   for (const EngineId id : engines) {
     discovery::Record record;
     record.entry = {id, state, 1, 2, 3, 1.5, 1700000000123ms};
@@ -37,7 +37,7 @@
             "\0\0\0\x24\0\0\0\0\0\0\0\x2a\x02"
             "\0\0\0\x07\x0a\x01\0\x09\x0f\xa7\x01\x02\x01\0\x03\0\0\x05\xdc\0\0\x01\x8b\xcf\xe5\x68\x7b"s);
 
-  discovery::put_beat(bytes, 42);
+  discovery::put_heartbeat(bytes, 42);
   discovery::put_event(bytes, event(43, true, {}));
   for (std::size_t step = 1; step <= bytes.size(); ++step) {
     discovery::EventReader reader;
@@ -83,7 +83,7 @@
   const auto ended_by = [&](const discovery::Event& one) {
     core::EndpointsUpdated update;
     std::vector<EngineId> ended;
-    endpoints.take(one, update, ended);
+    endpoints.apply(one, update, ended);
     endpoints.forget_removed();
     return ended;
   };
@@ -109,7 +109,7 @@
   const auto take = [&](const discovery::Event& one) {
     core::EndpointsUpdated update;
     std::vector<EngineId> ended;
-    const auto result = endpoints.take(one, update, ended);
+    const auto result = endpoints.apply(one, update, ended);
     return std::pair(result, update.engines.size());
   };
   using ApplyResult = platform::EndpointList::ApplyResult;
--- a/tests/platform/engine_frames_test.cpp
+++ b/tests/platform/engine_frames_test.cpp
@@ -121,19 +121,19 @@
 TEST(PagedAnswer, OrdersPagesAndIgnoresDuplicates) {
   using engine_frames::Reply;
   platform::PagedAnswer paged;
-  const auto step = paged.take(answer(Reply::ok, 3, 0, "a\t\t\n"));
+  const auto step = paged.add(answer(Reply::ok, 3, 0, "a\t\t\n"));
 
   ASSERT_TRUE(std::holds_alternative<platform::PagedAnswer::More>(step));
   EXPECT_EQ(std::get<platform::PagedAnswer::More>(step).pages, 3U);
   EXPECT_TRUE(paged.paging());
 
   using Nothing = platform::PagedAnswer::Nothing;
-  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.take(answer(Reply::page, 1, 2, "c\t\t\n"))));
-  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.take(answer(Reply::page, 1, 2, "c\t\t\n"))));
-  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.take(answer(Reply::ok, 3, 0, "a\t\t\n"))));
-  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.take(answer(Reply::full, 1, 0, ""))));
+  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.add(answer(Reply::page, 1, 2, "c\t\t\n"))));
+  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.add(answer(Reply::page, 1, 2, "c\t\t\n"))));
+  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.add(answer(Reply::ok, 3, 0, "a\t\t\n"))));
+  EXPECT_TRUE(std::holds_alternative<Nothing>(paged.add(answer(Reply::full, 1, 0, ""))));
 
-  const auto last = paged.take(answer(Reply::page, 1, 1, "b\t\t\n"));
+  const auto last = paged.add(answer(Reply::page, 1, 1, "b\t\t\n"));
   ASSERT_TRUE(std::holds_alternative<platform::PagedAnswer::Done>(last));
   EXPECT_EQ(std::get<platform::PagedAnswer::Done>(last).ending, core::Ending::complete);
   EXPECT_EQ(paged.body(), "a\t\t\nb\t\t\nc\t\t\n");
@@ -145,28 +145,28 @@
 
   for (const char* text : {"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "\n", "a\tb\tc\nd"}) {
     platform::PagedAnswer paged;
-    EXPECT_TRUE(std::holds_alternative<Broken>(paged.take(answer(Reply::ok, 1, 0, text)))) << text;
+    EXPECT_TRUE(std::holds_alternative<Broken>(paged.add(answer(Reply::ok, 1, 0, text)))) << text;
   }
   platform::PagedAnswer not_requested;
-  EXPECT_TRUE(std::holds_alternative<Broken>(not_requested.take(answer(Reply::page, 1, 1, "a\t\t\n"))));
+  EXPECT_TRUE(std::holds_alternative<Broken>(not_requested.add(answer(Reply::page, 1, 1, "a\t\t\n"))));
 
   platform::PagedAnswer beyond;
-  beyond.take(answer(Reply::ok, 2, 0, "a\t\t\n"));
-  EXPECT_TRUE(std::holds_alternative<Broken>(beyond.take(answer(Reply::page, 1, 2, "a\t\t\n"))));
+  beyond.add(answer(Reply::ok, 2, 0, "a\t\t\n"));
+  EXPECT_TRUE(std::holds_alternative<Broken>(beyond.add(answer(Reply::page, 1, 2, "a\t\t\n"))));
 
   platform::PagedAnswer lost;  // the engine no longer knows the page
-  lost.take(answer(Reply::ok, 2, 0, "a\t\t\n"));
-  const auto end = lost.take(answer(Reply::error, 1, 0, ""));
+  lost.add(answer(Reply::ok, 2, 0, "a\t\t\n"));
+  const auto end = lost.add(answer(Reply::error, 1, 0, ""));
   ASSERT_TRUE(std::holds_alternative<platform::PagedAnswer::Done>(end));
   EXPECT_EQ(std::get<platform::PagedAnswer::Done>(end).ending, core::Ending::engine_error);
 
   platform::PagedAnswer large;
   std::string full_page(5997, 'x');
   full_page += "\t\t\n";
-  large.take(answer(Reply::ok, 64, 0, full_page));
+  large.add(answer(Reply::ok, 64, 0, full_page));
   std::size_t pages = 1;
   while (!std::holds_alternative<Broken>(
-      large.take(answer(Reply::page, 1, static_cast<std::uint32_t>(pages), full_page))))
+      large.add(answer(Reply::page, 1, static_cast<std::uint32_t>(pages), full_page))))
     ASSERT_LT(++pages, 10U);
 }
 
--- a/tests/platform/jsonrpc_test.cpp
+++ b/tests/platform/jsonrpc_test.cpp
@@ -27,7 +27,7 @@
   all[0].deadline = 10s;
   all[1].name = "load";
   all[1].deadline = 10s;
-  all[1].repeat = Idempotency::idempotent_with_key;
+  all[1].idempotency = Idempotency::idempotent_with_key;
   all[1].ordered_by_key = true;
   return all;
 }
@@ -99,7 +99,7 @@
   EXPECT_EQ(query->trace, 0x9b1f03aa5c7e2d41U);
   EXPECT_EQ(query->client_timeout, 1500ms);
   EXPECT_TRUE(query->repeated);
-  EXPECT_EQ(query->nonce, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+  EXPECT_EQ(query->idempotency_key, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
   EXPECT_EQ(query->cost, 820500us);
   EXPECT_EQ(query->memory_mb, 96);
   EXPECT_EQ(query->ordering_key, 0x7f3a9c21e0b4d655U);
@@ -193,7 +193,7 @@
 
   lines.feed("\nmore\n");
   EXPECT_EQ(lines.next(), std::nullopt);
-  EXPECT_EQ(lines.kept(), 0U);
+  EXPECT_EQ(lines.buffered_bytes(), 0U);
 }
 
 TEST(Calls, AnswersAreOneLineEach) {
--- a/tests/platform/peers.hpp
+++ b/tests/platform/peers.hpp
@@ -149,7 +149,7 @@
   report.threads = 1;
   ClassSettings load = report;
   load.name = "load";
-  load.repeat = Idempotency::idempotent_with_key;
+  load.idempotency = Idempotency::idempotent_with_key;
   load.idempotency_window = 20s;
   load.ordered_by_key = true;
   module_settings.classes = {report, load};
@@ -168,7 +168,7 @@
   config.core.cancel_grace = 250ms;
   discovery::Event first;
   first.number = 1;
-  first.whole = true;
+  first.is_full_list = true;
   first.records = std::move(engines);
   config.known = {first};
   config.cursor = 1;
--- a/tests/protocol/pg_test.cpp
+++ b/tests/protocol/pg_test.cpp
@@ -255,7 +255,7 @@
 
 TEST(FrontendSession, PreparedStatementsAreLimited) {
   FrontendSettings settings;
-  settings.most_statements = 2;
+  settings.max_statements = 2;
   LoggedInSession session(settings);
   for (const char* name : {"a", "b", "c"}) {
     std::string bytes;
