--- a/tests/protocol/pg_fixtures.hpp
+++ b/tests/protocol/pg_fixtures.hpp
@@ -85,6 +85,14 @@
 inline void append_bind(std::string& out, const char* name) { put_bind(out, "", name, {"\0\0\0\0\0\0", 6}); }
 inline void append_execute(std::string& out) { put_raw(out, 'E', {"\0\0\0\0\0", 5}); }
 
+/// An engine's answer to a SET.
+inline std::string answer_to_set() {
+  std::string answer;
+  put_complete(answer, "SET");
+  put_ready(answer, 'I');
+  return answer;
+}
+
 /// An engine's answer with one row, with its reports.
 inline std::string engine_answer(const char* value, char transaction_status = 'I') {
   std::string answer;
--- a/tests/protocol/sql_test.cpp
+++ b/tests/protocol/sql_test.cpp
@@ -1,3 +1,4 @@
+/// The SQL scanner, and the tags in its comments.
 #include <gtest/gtest.h>
 
 #include "protocol/sql/scan.hpp"
@@ -9,6 +10,7 @@
 TEST(Scan, SplitsWhereStatementsEndAndNowhereElse) {
   const auto scanned =
       scan("select 'a;b', E'c\\';d', $x$;$x$, \"e;f\" -- ;\n; /* ; /* ; */ ; */ Insert into t; ;");
+
   ASSERT_EQ(scanned.statements.size(), 2U);
   EXPECT_EQ(scanned.statements[0].words[0], "select");
   EXPECT_EQ(scanned.statements[1].words[0], "insert");
@@ -26,8 +28,10 @@
 
 TEST(Tags, AreReadAsSqlCommenterWritesThem) {
   const Tags tags = read_tags("class='look%20up', key='a\\'b',traceparent='00-1'");
+
   ASSERT_EQ(tags.size(), 3U);
   EXPECT_EQ(tags[0].second, "look up");
+
   EXPECT_EQ(tags[1].second, "a'b");
   EXPECT_TRUE(read_tags("just a comment").empty());
   EXPECT_TRUE(read_tags("class='unended").empty());
