--- a/bench_adapter/wire_host.cpp
+++ b/bench_adapter/wire_host.cpp
@@ -200,8 +200,8 @@
 
 }  // namespace
 
-std::size_t frame_length(std::span<const std::uint8_t> first_four) {
-  const auto length = WireReader(first_four).read<std::uint32_t>();
+std::size_t frame_length(std::span<const std::uint8_t> prefix) {
+  const auto length = WireReader(prefix).read<std::uint32_t>();
   if (length < batch_header_bytes || length > max_frame_bytes)
     throw MalformedFrame("impossible frame length " + std::to_string(length));
   return length;
--- a/bench_adapter/wire_host.hpp
+++ b/bench_adapter/wire_host.hpp
@@ -19,11 +19,14 @@
   using std::runtime_error::runtime_error;
 };
 
+/// The length of the complete frame, at its start.
+inline constexpr std::size_t frame_length_bytes = 4;
 inline constexpr std::size_t batch_header_bytes = 20;
 inline constexpr std::size_t max_frame_bytes = std::size_t{1} << 30;
 
-/// The length that a frame's first four bytes state. Throws MalformedFrame where it is impossible.
-std::size_t frame_length(std::span<const std::uint8_t> first_four);
+/// The length that a frame's first `frame_length_bytes` bytes state. Throws MalformedFrame where it is
+/// impossible.
+std::size_t frame_length(std::span<const std::uint8_t> prefix);
 
 class WireReader;
 class WireWriter;
--- a/fuzz/discovery.cpp
+++ b/fuzz/discovery.cpp
@@ -1,41 +1,45 @@
 /// Discovery's event stream: any split of the same bytes gives the same events, and event numbers only rise.
+#include <string>
+#include <variant>
+#include <vector>
+
 #include "platform/endpoint_list.hpp"
 #include "protocol/discovery/events.hpp"
+#include "read_messages.hpp"
 #include "target.hpp"
 
 namespace {
 
 using namespace paddlestand;
+using ApplyResult = platform::EndpointList::ApplyResult;
+
+/// Applies an event and returns a line on what it changed. Fails where the last event's number changes
+/// without an event being applied, or does not rise with one.
+std::string apply_event(platform::EndpointList& endpoints, const discovery::Event& event) {
+  const std::uint64_t last_before = endpoints.last();
+  core::EndpointsUpdated update;
+  std::vector<EngineId> ended_processes;
+  const ApplyResult result = endpoints.apply(event, update, ended_processes);
+  const bool is_number_right =
+      result == ApplyResult::applied ? endpoints.last() > last_before : endpoints.last() == last_before;
+  if (!is_number_right) fuzz::fail("the number of the last event is wrong");
+  endpoints.forget_removed();
+  return std::to_string(event.number) + " " + std::to_string(static_cast<int>(result)) + " " +
+         std::to_string(update.engines.size()) + " " + std::to_string(endpoints.size()) + "\n";
+}
 
-std::string run(fuzz::Chunks chunks, std::uint8_t) {
+std::string run(fuzz::Chunks chunks, std::uint8_t /*seed*/) {
   discovery::EventReader reader;
-  platform::EndpointList fleet;
+  platform::EndpointList endpoints;
   std::string output;
-  bool has_ended = false;
-  while (!has_ended && chunks.has_next()) {
-    reader.feed(chunks.next());
-    while (!has_ended) {
-      auto next = reader.next();
-      if (std::holds_alternative<std::monostate>(next)) break;
-      if (const auto* broken = std::get_if<discovery::Broken>(&next)) {
-        output += "broken " + broken->what;
-        has_ended = true;
-      } else if (const auto* event = std::get_if<discovery::Event>(&next)) {
-        const std::uint64_t before = fleet.last();
-        core::EndpointsUpdated changed;
-        std::vector<EngineId> processes_ended;
-        const auto taken = fleet.apply(*event, changed, processes_ended);
-        if (taken == platform::EndpointList::ApplyResult::applied ? fleet.last() <= before
-                                                                  : fleet.last() != before)
-          fuzz::fail("the number of the last event went wrong");
-        fleet.forget_removed();
-        output += std::to_string(event->number) + " " + std::to_string(static_cast<int>(taken)) + " " +
-                  std::to_string(changed.engines.size()) + " " + std::to_string(fleet.size()) + "\n";
-      } else {
-        output += "beat\n";
-      }
+  fuzz::read_messages<discovery::Broken>(chunks, reader, output, [&](const auto& message) {
+    if (const auto* event = std::get_if<discovery::Event>(&message)) {
+      output += apply_event(endpoints, *event);
+    } else {
+      output += "heartbeat\n";
     }
-  }
+    return fuzz::Flow::next;
+  });
   return output;
 }
 
--- a/fuzz/engine_frames.cpp
+++ b/fuzz/engine_frames.cpp
@@ -1,49 +1,60 @@
 /// Frames of the platform's engines: any split of the same bytes gives the same answers, and a result is
 /// complete rows or nothing.
+#include <string>
+#include <utility>
+#include <variant>
+
 #include "platform/paged_answer.hpp"
 #include "protocol/engine_frames/frames.hpp"
+#include "read_messages.hpp"
 #include "target.hpp"
 
 namespace {
 
 using namespace paddlestand;
 
+/// The answers on one stream, and a text of what was made of them.
+class AnswerCollector {
+ public:
+  explicit AnswerCollector(std::string& output) : output_(output) {}
+
+  fuzz::Flow add(engine_frames::Frame frame) {
+    auto answer = engine_frames::read_answer(std::move(frame));
+    if (const auto* broken = std::get_if<engine_frames::Broken>(&answer)) {
+      output_ += "unreadable " + broken->what;
+      return fuzz::Flow::stop;
+    }
+    const auto step = pages_.add(std::move(std::get<engine_frames::Answer>(answer)));
+    output_ += std::to_string(step.index());
+    const auto* done = std::get_if<platform::PagedAnswer::Done>(&step);
+    if (done != nullptr && done->ending == core::Ending::complete) finish_result();
+    return fuzz::Flow::next;
+  }
+
+ private:
+  void finish_result() {
+    const std::string& result = pages_.body();
+    if (!engine_frames::has_complete_rows(result)) fuzz::fail("a result with an incomplete row");
+    if (result.size() > platform::max_result) fuzz::fail("a result that is too large");
+    pages_ = {};
+  }
+
+  std::string& output_;
+  platform::PagedAnswer pages_;
+};
+
+/// The seed's lowest bit says which side's frames are read.
 std::string run(fuzz::Chunks chunks, std::uint8_t seed) {
   const auto side = (seed & 1U) == 0 ? engine_frames::Side::engine : engine_frames::Side::manager;
   engine_frames::FrameReader reader(side);
-  platform::PagedAnswer paged;
   std::string output;
-  bool has_ended = false;
-  while (!has_ended && chunks.has_next()) {
-    reader.feed(chunks.next());
-    while (!has_ended) {
-      auto next = reader.next();
-      if (std::holds_alternative<std::monostate>(next)) break;
-      if (const auto* broken = std::get_if<engine_frames::Broken>(&next)) {
-        output += "broken " + broken->what;
-        has_ended = true;
-        break;
-      }
-      auto& frame = std::get<engine_frames::Frame>(next);
-      output +=
-          std::to_string(frame.code) + " " + std::to_string(frame.id) + frame.fields + frame.body + "\n";
-      if (side == engine_frames::Side::manager) continue;
-      auto answer = engine_frames::read_answer(std::move(frame));
-      if (const auto* broken = std::get_if<engine_frames::Broken>(&answer)) {
-        output += "unreadable " + broken->what;
-        has_ended = true;
-        break;
-      }
-      const auto step = paged.add(std::move(std::get<engine_frames::Answer>(answer)));
-      output += std::to_string(step.index());
-      const auto* done = std::get_if<platform::PagedAnswer::Done>(&step);
-      if (done != nullptr && done->ending == core::Ending::complete) {
-        if (!engine_frames::has_complete_rows(paged.body()) || paged.body().size() > platform::max_result)
-          fuzz::fail("a result that is no rows, or too large");
-        paged = {};
-      }
-    }
-  }
+  AnswerCollector answers(output);
+  fuzz::read_messages<engine_frames::Broken>(chunks, reader, output, [&](auto message) {
+    auto& frame = std::get<engine_frames::Frame>(message);
+    output += std::to_string(frame.code) + " " + std::to_string(frame.id) + frame.fields + frame.body + "\n";
+    if (side == engine_frames::Side::manager) return fuzz::Flow::next;
+    return answers.add(std::move(frame));
+  });
   return output;
 }
 
--- a/fuzz/engine_list.cpp
+++ b/fuzz/engine_list.cpp
@@ -4,11 +4,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace paddlestand;
-  config::ManagerConfig of;
-  of.zones = {{"north", 0}, {"south", 1}};
-  of.kinds = {{"std", 0}};
-  of.core.module.kinds = {{8, 16384}};
-  const auto read = config::read_engine_list(fuzz::as_file(fuzz::text_of(data, size)), of);
+  config::ManagerConfig config;
+  config.zones = {{"north", 0}, {"south", 1}};
+  config.kinds = {{"std", 0}};
+  config.core.module.kinds = {{8, 16384}};
+  const auto read = config::read_engine_list(fuzz::as_file(fuzz::text_of(data, size)), config);
   fuzz::check_error_has_text<config::Fault>(read);
   return 0;
 }
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -4,9 +4,11 @@
 #include "simulation/explorer/replay.hpp"
 #include "target.hpp"
 
+constexpr std::size_t max_history_bytes = 4096;  // more takes too long to replay
+
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace paddlestand;
-  if (size > 4096) return 0;
+  if (size > max_history_bytes) return 0;
   const auto parsed = explorer::parse_history(std::string(fuzz::text_of(data, size)));
   const auto* history = std::get_if<explorer::History>(&parsed);
   if (history == nullptr || history->scope == "walk") return 0;
--- a/fuzz/platform_config.cpp
+++ b/fuzz/platform_config.cpp
@@ -1,10 +1,13 @@
-// The platform's configuration: whatever is in the file, it is taken whole or refused with one problem.
+/// The platform's configuration: any text is a configuration, or one problem with a text.
+#include <variant>
+
 #include "platform/config.hpp"
 #include "target.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  const auto read = paddlestand::platform::parse_config(paddlestand::fuzz::text_of(data, size));
-  const auto* problem = std::get_if<paddlestand::platform::Problem>(&read);
-  if (problem != nullptr && problem->text.empty()) paddlestand::fuzz::fail("a problem that says nothing");
+  using namespace paddlestand;
+  const auto parsed = platform::parse_config(fuzz::text_of(data, size));
+  const auto* problem = std::get_if<platform::Problem>(&parsed);
+  if (problem != nullptr && problem->text.empty()) fuzz::fail("a problem without a text");
   return 0;
 }
--- a/fuzz/replay_main.cpp
+++ b/fuzz/replay_main.cpp
@@ -1,31 +1,49 @@
-// Runs a target over files, or all files of folders: what CI does with the corpora.
+/// Runs a fuzz target over files, or over all files of folders: what CI does with the corpora.
 #include <algorithm>
 #include <filesystem>
+#include <fstream>
 #include <iostream>
 #include <iterator>
+#include <string>
 #include <vector>
 
 #include "target.hpp"
 
-int main(int argc, char** argv) {
-  std::vector<std::filesystem::path> files;
+namespace {
+
+namespace fs = std::filesystem;
+
+constexpr int exit_bad_usage = 2;
+
+/// The files that the arguments name, sorted; of a folder, all that it holds.
+std::vector<fs::path> files_of(int argc, char** argv) {
+  std::vector<fs::path> files;
   for (int i = 1; i < argc; ++i) {
-    if (!std::filesystem::is_directory(argv[i])) {
+    if (!fs::is_directory(argv[i])) {
       files.emplace_back(argv[i]);
       continue;
     }
-    for (const auto& entry : std::filesystem::directory_iterator(argv[i])) files.push_back(entry.path());
+    for (const auto& entry : fs::directory_iterator(argv[i])) files.push_back(entry.path());
   }
   std::sort(files.begin(), files.end());
+  return files;
+}
+
+void run_target(const fs::path& path) {
+  std::ifstream file(path, std::ios::binary);
+  const std::string bytes{std::istreambuf_iterator<char>(file), {}};
+  LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  const std::vector<fs::path> files = files_of(argc, argv);
   if (files.empty()) {
     std::cerr << "wanted: files, or folders with files\n";
-    return 2;
-  }
-  for (const auto& path : files) {
-    std::ifstream file(path, std::ios::binary);
-    const std::string bytes{std::istreambuf_iterator<char>(file), {}};
-    LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
+    return exit_bad_usage;
   }
+  for (const auto& path : files) run_target(path);
   std::cout << files.size() << " inputs\n";
   return 0;
 }
--- a/fuzz/target.hpp
+++ b/fuzz/target.hpp
@@ -1,4 +1,4 @@
-/// What the fuzz targets share.
+/// What the fuzz targets share: input as text, as a file and in chunks, and checks of what is made of it.
 #pragma once
 
 #include <unistd.h>
@@ -13,16 +13,19 @@
 
 namespace paddlestand::fuzz {
 
+/// Reports what the target found and aborts, which the fuzzer takes for a crash.
 [[noreturn]] inline void fail(const char* what) {
   std::fprintf(stderr, "fuzz: %s\n", what);
   std::abort();
 }
 
+/// The input as text; refers to `data`.
 inline std::string_view text_of(const std::uint8_t* data, std::size_t size) {
   return {reinterpret_cast<const char*>(data), size};
 }
 
-/// For readers that take a path: one file for each process, overwritten each time.
+/// Writes the input for readers that take a path, and returns the path: one file for each process,
+/// overwritten each time.
 inline std::string as_file(std::string_view text) {
   static const std::string path = [] {
     const char* folder = std::getenv("TMPDIR");
@@ -32,14 +35,14 @@
   return path;
 }
 
-/// Input in chunks, as a socket may deliver it.
+/// Input in chunks, as a socket may deliver it: of 1, 2, 4 up to 128 bytes.
 class Chunks {
  public:
   /// All bytes at once, even if there are none.
   static Chunks unsplit(std::string_view bytes) { return {bytes, 0, false}; }
   /// Lengths follow from the seed, and are often 1.
   static Chunks split(std::string_view bytes, std::uint32_t seed) {
-    return {bytes, seed * 2654435761U + 1, true};
+    return {bytes, seed * seed_multiplier + 1, true};
   }
 
   [[nodiscard]] bool is_split() const { return is_split_; }
@@ -47,14 +50,20 @@
   std::string_view next() {
     has_begun_ = true;
     if (!is_split_) return remaining_;
-    random_state_ = random_state_ * 1664525U + 1013904223U;
-    const std::size_t size = std::size_t{1} << ((random_state_ >> 24U) % 8U);
+    random_state_ = random_state_ * generator_multiplier + generator_increment;
+    const std::size_t size = std::size_t{1} << ((random_state_ >> 24U) % chunk_sizes);
     const std::string_view chunk = remaining_.substr(0, size);
     remaining_.remove_prefix(chunk.size());
     return chunk;
   }
 
  private:
+  static constexpr std::uint32_t chunk_sizes = 8;
+  // A linear congruential generator; neighbouring seeds begin far apart.
+  static constexpr std::uint32_t seed_multiplier = 2654435761U;
+  static constexpr std::uint32_t generator_multiplier = 1664525U;
+  static constexpr std::uint32_t generator_increment = 1013904223U;
+
   Chunks(std::string_view bytes, std::uint32_t random_state, bool is_split)
       : remaining_(bytes), random_state_(random_state), is_split_(is_split) {}
 
--- a/fuzz/wire.cpp
+++ b/fuzz/wire.cpp
@@ -1,18 +1,33 @@
-// The bench's wire: frames one after another, whatever they hold; a frame is answered or refused as
-// malformed.
+/// The simulator's wire: any bytes are batch frames that get one reply each, up to a malformed one.
+#include <algorithm>
+#include <span>
+
 #include "target.hpp"
 #include "wire_host.hpp"
 
+namespace {
+
+using namespace paddlestand;
+
+/// The first frame of `bytes`; what there is of it where its end is missing.
+std::span<const std::uint8_t> first_frame(std::span<const std::uint8_t> bytes) {
+  const std::size_t length = bench_adapter::frame_length(bytes.first(bench_adapter::frame_length_bytes));
+  return bytes.first(std::min(length, bytes.size()));
+}
+
+}  // namespace
+
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace paddlestand;
   bench_adapter::WireHost host;
-  std::span<const std::uint8_t> left(data, size);
+  std::span<const std::uint8_t> remaining(data, size);
   try {
-    while (left.size() >= bench_adapter::batch_header_bytes) {
-      const std::size_t length = std::min(bench_adapter::frame_length(left.first(4)), left.size());
-      host.reply_to(left.first(length));
-      left = left.subspan(length);
+    while (remaining.size() >= bench_adapter::batch_header_bytes) {
+      const auto frame = first_frame(remaining);
+      host.reply_to(frame);
+      remaining = remaining.subspan(frame.size());
     }
-  } catch (const bench_adapter::MalformedFrame&) {}
+  } catch (const bench_adapter::MalformedFrame&) {
+    return 0;  // the host is of no further use
+  }
   return 0;
 }
