--- a/fuzz/target.hpp
+++ b/fuzz/target.hpp
@@ -93,4 +93,6 @@
 
 }  // namespace paddlestand::fuzz
 
+/// The entry point of a target; libFuzzer calls it by this name. Returns 0.
+// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
