--- a/apps/day.cpp
+++ b/apps/day.cpp
@@ -16,13 +16,14 @@
 
 struct DayOptions {
   std::string file;
-  std::string report;
-  std::string folder;
-  std::string engine_program;
-  std::optional<std::uint64_t> seed;
-  bool keep = false;
+  std::string report_file;  // empty: none is written
+  std::string folder;  // empty: a temporary one
+  std::string engine_program;  // empty: the one beside this program
+  std::optional<std::uint64_t> seed;  // in place of the file's
+  bool keep_logs = false;
 };
 
+/// The path of this program; empty where it can't be found out.
 std::string own_program() {
   std::error_code error;
   return fs::read_symlink("/proc/self/exe", error).string();
@@ -43,65 +44,70 @@
   }
   for (const std::string& problem : problems) std::cout << "problem: " << problem << "\n";
   if (!report_file.empty() && !write_report(report_file, verdict)) {
-    std::cerr << "paddlestand: " << report_file << ": can't be written\n";
-    return exit_failed;
+    return report_failure(report_file + ": can't be written");
   }
   std::cout << trace_checker::summary(verdict) << (problems.empty() ? "" : "; the run had problems") << "\n";
-  return verdict.by_rule.empty() && problems.empty() ? exit_well : exit_failed;
+  return verdict.by_rule.empty() && problems.empty() ? exit_success : exit_failure;
 }
 
-/// An exit code, where there is no folder to be had.
+/// The folder for the logs, empty and created where needed; an exit code where there is none.
 std::variant<std::string, int> prepare_folder(const std::string& wanted) {
   if (wanted.empty()) {
     std::string pattern = (fs::temp_directory_path() / "paddlestand-day-XXXXXX").string();
     if (mkdtemp(pattern.data()) != nullptr) return pattern;
-    std::cerr << "paddlestand: no folder for the day's logs\n";
-    return exit_failed;
+    return report_failure("no folder for the day's logs");
   }
   std::error_code error;
   fs::create_directories(wanted, error);
   if (!error && fs::is_empty(wanted, error)) return wanted;
-  return complain(wanted + "; wanted: an empty folder, or none");
+  return report_bad_input(wanted + "; wanted: an empty folder, or none");
 }
 
+/// Runs the day and reports its verdict. The logs of a day without a violation in a temporary folder are
+/// removed.
 int run_in_folder(const DayOptions& options, const simulation::DayPlan& plan, const std::string& folder) {
   try {
     const simulation::DayResult result =
         simulation::run_day(plan, [](const std::string& text) { std::cout << text << std::endl; });
     std::cout << result.table;
-    const int code = report_verdict(result.verdict, result.problems, options.report);
-    if (options.folder.empty() && !options.keep && code == exit_well) {
+    const int code = report_verdict(result.verdict, result.problems, options.report_file);
+    if (options.folder.empty() && !options.keep_logs && code == exit_success) {
       fs::remove_all(folder);
     } else {
       std::cerr << "logs are in " << folder << "\n";
     }
     return code;
   } catch (const std::exception& error) {
-    std::cerr << "paddlestand: " << error.what() << "; logs are in " << folder << "\n";
-    return exit_failed;
+    return report_failure(std::string(error.what()) + "; logs are in " + folder);
   }
 }
 
-int run_day(const DayOptions& options) {
-  auto day = simulation::read_day(options.file);
-  if (const auto* fault = std::get_if<config::Fault>(&day)) return complain(fault->text());
+simulation::DayPlan make_plan(simulation::Day day, const DayOptions& options) {
   simulation::DayPlan plan;
-  plan.day = std::move(std::get<simulation::Day>(day));
+  plan.day = std::move(day);
   if (options.seed) plan.day.seed = *options.seed;
   plan.manager_program = own_program();
   plan.engine_program = options.engine_program;
   if (plan.engine_program.empty())
     plan.engine_program = (fs::path(plan.manager_program).parent_path() / "paddlestand_test_engine").string();
+  return plan;
+}
+
+int run_day(const DayOptions& options) {
+  auto day = simulation::read_day(options.file);
+  if (const auto* fault = std::get_if<config::Fault>(&day)) return report_bad_input(fault->text());
+  simulation::DayPlan plan = make_plan(std::move(std::get<simulation::Day>(day)), options);
   const auto folder = prepare_folder(options.folder);
   if (const int* code = std::get_if<int>(&folder)) return *code;
   plan.folder = fs::absolute(std::get<std::string>(folder)).string();
   return run_in_folder(options, plan, std::get<std::string>(folder));
 }
 
+/// Checks the logs of a day that was run before.
 int check_logs(const std::string& file, const std::string& folder, const std::string& report_file) {
   const auto day = simulation::read_day(file);
-  if (const auto* fault = std::get_if<config::Fault>(&day)) return complain(fault->text());
-  if (!fs::is_directory(folder)) return complain(folder + ": no folder");
+  if (const auto* fault = std::get_if<config::Fault>(&day)) return report_bad_input(fault->text());
+  if (!fs::is_directory(folder)) return report_bad_input(folder + ": no folder");
   std::vector<std::string> problems;
   auto records = trace_checker::read_logs(folder, problems);
   const auto parameters = simulation::parameters_of(std::get<simulation::Day>(day));
@@ -110,24 +116,24 @@
 
 }  // namespace
 
-void add_day(CLI::App& app, int& result) {
+void add_day_command(CLI::App& app, int& result) {
   static DayOptions options;
   static std::string logs;
   auto* day = app.add_subcommand("day", "Days with troubles, on loopback, judged from the sockets");
   day->require_subcommand(1);
   auto* run = day->add_subcommand("run", "Run a day; exit 0 only where no rule was broken");
   run->add_option("file", options.file, "The day (XML, schema/day.xsd)")->required();
-  run->add_option("--report", options.report, "Write the verdict as JSON to this file");
+  run->add_option("--report", options.report_file, "Write the verdict as JSON to this file");
   run->add_option("--folder", options.folder, "Keep settings and logs in this empty folder");
   run->add_option("--seed", options.seed, "Another seed than the file's");
   run->add_option("--engine", options.engine_program, "Another stand-in program");
-  run->add_flag("--keep", options.keep, "Keep the logs of a day that went well too");
+  run->add_flag("--keep", options.keep_logs, "Keep the logs of a day that went well too");
   run->callback([&result] { result = run_day(options); });
-  auto* judge = day->add_subcommand("audit", "Judge the logs of a day that was run before");
-  judge->add_option("file", options.file, "The day")->required();
-  judge->add_option("logs", logs, "The folder of its logs")->required();
-  judge->add_option("--report", options.report, "Write the verdict as JSON to this file");
-  judge->callback([&result] { result = check_logs(options.file, logs, options.report); });
+  auto* audit = day->add_subcommand("audit", "Judge the logs of a day that was run before");
+  audit->add_option("file", options.file, "The day")->required();
+  audit->add_option("logs", logs, "The folder of its logs")->required();
+  audit->add_option("--report", options.report_file, "Write the verdict as JSON to this file");
+  audit->callback([&result] { result = check_logs(options.file, logs, options.report_file); });
 }
 
 }  // namespace paddlestand::app
--- a/apps/paddlestand.cpp
+++ b/apps/paddlestand.cpp
@@ -24,6 +24,7 @@
 namespace {
 
 constexpr std::size_t max_file_bytes = 64U << 20U;
+constexpr const char* version = "0.2.0";
 constexpr std::size_t salt_bytes = 16;
 
 struct ServeOptions {
@@ -32,7 +33,7 @@
   bool keep_descriptor_limit = false;
 };
 
-/// What the settings name beside themselves.
+/// The users, and the password at the engines, from the files that the settings name.
 struct Credentials {
   pg::Users users;
   std::string engine_password;
@@ -49,12 +50,12 @@
 /// Waits, for a bounded time, until the file can be read or the error is not a transient one. An empty path
 /// names no file.
 void wait_for_file(const std::string& path) {
-  const auto end = std::chrono::steady_clock::now() + longest_start;
+  const auto end = std::chrono::steady_clock::now() + max_start_time;
   while (!path.empty() && std::chrono::steady_clock::now() < end) {
     const auto read = config::read_file(path, max_file_bytes);
     const auto* error = std::get_if<config::FileError>(&read);
     if (error == nullptr || !error->transient) return;
-    std::this_thread::sleep_for(start_pause);
+    std::this_thread::sleep_for(start_retry_interval);
   }
 }
 
@@ -63,13 +64,13 @@
 bool write_port_file(const std::string& path, std::uint16_t port) {
   const std::string temporary = path + ".new";
   const auto folder = std::filesystem::absolute(path).parent_path();
-  const auto end = std::chrono::steady_clock::now() + longest_start;
+  const auto end = std::chrono::steady_clock::now() + max_start_time;
   do {
     std::ofstream file(temporary);
     file << port << "\n";
     file.close();
     if (file && std::rename(temporary.c_str(), path.c_str()) == 0) return true;
-    std::this_thread::sleep_for(start_pause);
+    std::this_thread::sleep_for(start_retry_interval);
   } while (std::filesystem::exists(folder) && std::chrono::steady_clock::now() < end);
   return false;
 }
@@ -92,11 +93,11 @@
   service::PendingSignals::install();
   wait_for_file(options.config_path);
   const auto read = config::read_manager_config(options.config_path);
-  if (const auto* fault = std::get_if<config::Fault>(&read)) return complain(fault->text());
+  if (const auto* fault = std::get_if<config::Fault>(&read)) return report_bad_input(fault->text());
   const auto& config = std::get<config::ManagerConfig>(read);
   const auto credentials = read_credentials(config, wait_for_file);
   if (const auto* error = std::get_if<service::CredentialsError>(&credentials))
-    return complain(error->text());
+    return report_bad_input(error->text());
   const auto& logins = std::get<Credentials>(credentials);
   if (!options.keep_descriptor_limit) raise_descriptor_limit();
 
@@ -106,30 +107,30 @@
     return std::make_unique<service::PostgresServer>(io, config, options.config_path, logins.users,
                                                      logins.engine_password);
   });
-  if (!started) return exit_failed;
+  if (!started) return exit_failure;
   if (!options.port_file.empty() && !write_port_file(options.port_file, hosted.host->port()))
-    return complain(options.port_file + ": can't be written");
+    return report_bad_input(options.port_file + ": can't be written");
   return run_host(hosted);
 }
 
 /// Reads the settings and the files that they name, and prints a summary or the first fault.
 int check_config(const std::string& path) {
   const auto read = config::read_manager_config(path);
-  if (const auto* fault = std::get_if<config::Fault>(&read)) return complain(fault->text());
+  if (const auto* fault = std::get_if<config::Fault>(&read)) return report_bad_input(fault->text());
   const auto& config = std::get<config::ManagerConfig>(read);
   std::size_t engines = config.engines.size();
   if (!config.engines_file.empty()) {
     const auto list = config::read_engine_list(config.engines_file, config);
-    if (const auto* fault = std::get_if<config::Fault>(&list)) return complain(fault->text());
+    if (const auto* fault = std::get_if<config::Fault>(&list)) return report_bad_input(fault->text());
     engines = std::get<std::vector<config::ListedEngine>>(list).size();
   }
   const auto credentials = read_credentials(config, [](const std::string&) {});
   if (const auto* error = std::get_if<service::CredentialsError>(&credentials))
-    return complain(error->text());
+    return report_bad_input(error->text());
   std::cout << path << ": manager '" << config.name << "', " << config.core.module.classes.size()
             << " classes, " << engines << " engines, "
             << std::get<Credentials>(credentials).users.verifiers.size() << " users\n";
-  return exit_well;
+  return exit_success;
 }
 
 /// Prints a line of a users' file. The password is read from standard input, so that it appears in no list of
@@ -137,14 +138,14 @@
 int make_verifier(const std::string& user) {
   std::string password;
   std::getline(std::cin, password);
-  if (password.empty()) return complain("wanted: a password, as one line on standard input");
+  if (password.empty()) return report_bad_input("wanted: a password, as one line on standard input");
   std::string salt(salt_bytes, '\0');
   RAND_bytes(reinterpret_cast<unsigned char*>(salt.data()), static_cast<int>(salt.size()));
   std::cout << user << " " << pg::Verifier::of_password(password, salt).text() << "\n";
-  return exit_well;
+  return exit_success;
 }
 
-void add_serve(CLI::App& app, int& result) {
+void add_serve_command(CLI::App& app, int& result) {
   static ServeOptions options;
   auto* serve_command = app.add_subcommand("serve", "Run the workload manager until SIGTERM");
   serve_command->add_option("-c,--config", options.config_path, "Its settings (XML, schema/manager.xsd)")
@@ -156,7 +157,7 @@
   serve_command->callback([&result] { result = serve(options); });
 }
 
-void add_check_config(CLI::App& app, int& result) {
+void add_check_config_command(CLI::App& app, int& result) {
   static std::string path;
   auto* command =
       app.add_subcommand("check-config", "Read settings and all that they name; say what is wrong");
@@ -164,7 +165,7 @@
   command->callback([&result] { result = check_config(path); });
 }
 
-void add_make_verifier(CLI::App& app, int& result) {
+void add_make_verifier_command(CLI::App& app, int& result) {
   static std::string user;
   auto* command =
       app.add_subcommand("make-verifier", "Turn a password on standard input into a users' file line");
@@ -185,20 +186,17 @@
       "More: docs/operators/ in the sources.");
   int result = 0;
 
-  app::add_serve(app, result);
-  app::add_check_config(app, result);
-  app::add_make_verifier(app, result);
-  app::add_platform(app, result);
+  app::add_serve_command(app, result);
+  app::add_check_config_command(app, result);
+  app::add_make_verifier_command(app, result);
+  app::add_platform_command(app, result);
 #ifdef PADDLESTAND_TOOLS
-  app::add_day(app, result);
-  app::add_explore(app, result);
+  app::add_day_command(app, result);
+  app::add_explore_command(app, result);
 #endif
-  app.add_subcommand("version", "Print the version")->callback([] { std::cout << "paddlestand 0.2.0\n"; });
+  app.add_subcommand("version", "Print the version")->callback([] {
+    std::cout << "paddlestand " << app::version << "\n";
+  });
 
-  try {
-    app.parse(argc, argv);
-  } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? app::exit_well : app::exit_bad_usage;
-  }
-  return result;
+  return app::run_command_line(app, argc, argv, result);
 }
--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -24,12 +24,12 @@
   return problem != nullptr && problem->transient;
 }
 
-/// Reads the configuration, again for as long as it can't be read for want of something.
+/// Reads the configuration, with retries for a bounded time while the error is a transient one.
 std::variant<platform::PlatformConfig, platform::Problem> read_config_with_retries(const std::string& path) {
-  const auto began = std::chrono::steady_clock::now();
+  const auto end = std::chrono::steady_clock::now() + max_start_time;
   auto read = platform::read_config(path);
-  while (is_transient(read) && std::chrono::steady_clock::now() < began + longest_start) {
-    std::this_thread::sleep_for(start_pause);
+  while (is_transient(read) && std::chrono::steady_clock::now() < end) {
+    std::this_thread::sleep_for(start_retry_interval);
     read = platform::read_config(path);
   }
   return read;
@@ -37,29 +37,31 @@
 
 int run_platform(const PlatformOptions& options) {
   if (options.config.empty())
-    return complain("PROXY_CONFIG is not set; wanted: the path of the configuration");
+    return report_bad_input("PROXY_CONFIG is not set; wanted: the path of the configuration");
   service::PendingSignals::install();
   auto read = read_config_with_retries(options.config);
-  if (const auto* problem = std::get_if<platform::Problem>(&read)) return complain(problem->text);
+  if (const auto* problem = std::get_if<platform::Problem>(&read)) return report_bad_input(problem->text);
   auto& config = std::get<platform::PlatformConfig>(read);
   if (!options.name.empty()) config.name = options.name;
   if (!options.listen.empty()) {
     const auto address = platform::parse_address(options.listen);
     if (const auto* problem = std::get_if<platform::Problem>(&address))
-      return complain("PROXY_LISTEN: " + problem->text);
+      return report_bad_input("PROXY_LISTEN: " + problem->text);
     config.listen = std::get<platform::Address>(address);
   }
+
   const std::string listen = platform::text_of(config.listen);
   Hosted<platform::PlatformServer> hosted;
   const bool started = start_host(hosted, listen, [&](boost::asio::io_context& io) {
     return std::make_unique<platform::PlatformServer>(io, config, options.config, options.trace);
   });
-  return started ? run_host(hosted) : exit_failed;
+  if (!started) return exit_failure;
+  return run_host(hosted);
 }
 
 }  // namespace
 
-void add_platform(CLI::App& app, int& result) {
+void add_platform_command(CLI::App& app, int& result) {
   static PlatformOptions options;
   auto* run =
       app.add_subcommand("platform", "Run the workload manager on the platform's protocol until SIGTERM");
--- a/apps/start.hpp
+++ b/apps/start.hpp
@@ -16,20 +16,19 @@
 
 namespace paddlestand::app {
 
-/// How long a start is retried for want of memory, descriptors or the like, which may be there again in a
-/// moment.
-inline constexpr auto longest_start = std::chrono::seconds(20);
+/// How long a start is retried for lack of memory, descriptors or the like, which may end in a moment.
+inline constexpr auto max_start_time = std::chrono::seconds(20);
 /// The same where the address is in use or not available, which is more likely to last.
-inline constexpr auto longest_wait_for_address = std::chrono::seconds(3);
+inline constexpr auto max_address_wait = std::chrono::seconds(3);
 /// Between two attempts.
-inline constexpr auto start_pause = std::chrono::milliseconds(20);
+inline constexpr auto start_retry_interval = std::chrono::milliseconds(20);
 
 /// Whether a start that failed with this error may be retried, `elapsed` after the first attempt.
 [[nodiscard]] inline bool may_retry_start(int error_number, std::chrono::nanoseconds elapsed) {
   const auto verdict = core::verdict_of(core::SystemCall::bind, error_number);
   if (verdict != core::CallVerdict::retry_now && verdict != core::CallVerdict::retry_later) return false;
   const bool is_address_error = error_number == EADDRINUSE || error_number == EADDRNOTAVAIL;
-  const std::chrono::nanoseconds limit = is_address_error ? longest_wait_for_address : longest_start;
+  const std::chrono::nanoseconds limit = is_address_error ? max_address_wait : max_start_time;
   return elapsed < limit;
 }
 
@@ -46,7 +45,7 @@
     } catch (const std::system_error&) {  // a thread could not be created
       if (!may_retry_start(ENOMEM, elapsed())) throw;
     }
-    std::this_thread::sleep_for(start_pause);
+    std::this_thread::sleep_for(start_retry_interval);
   }
 }
 
--- a/simulation/explorer/seeded_main.cpp
+++ b/simulation/explorer/seeded_main.cpp
@@ -1,4 +1,4 @@
-// The explorer over a core that carries seeded defects: for tests alone.
+/// `paddlestand-seeded`: the explorer over a core with seeded defects. Built for tests alone.
 #include <CLI/CLI.hpp>
 
 #include "apps/commands.hpp"
@@ -7,11 +7,6 @@
   CLI::App app{"paddlestand-seeded: the explorer over a heart with seeded defects"};
   app.require_subcommand(1);
   int result = 0;
-  paddlestand::app::add_explore(app, result);
-  try {
-    app.parse(argc, argv);
-  } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : paddlestand::app::exit_bad_usage;
-  }
-  return result;
+  paddlestand::app::add_explore_command(app, result);
+  return paddlestand::app::run_command_line(app, argc, argv, result);
 }
