--- /dev/null
+++ b/bench/child_process.hpp
@@ -0,0 +1,46 @@
+/// The processes that are measured, as children of the bench.
+#pragma once
+
+#include <boost/process.hpp>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace paddlestand::bench {
+
+/// A child process that ends with its object.
+class ChildProcess {
+ public:
+  ChildProcess(const std::string& program, const std::vector<std::string>& arguments);
+  ~ChildProcess();
+  ChildProcess(const ChildProcess&) = delete;
+  ChildProcess& operator=(const ChildProcess&) = delete;
+
+  /// Waits for the port that the child prints (print_port()). 0 where it ends before.
+  [[nodiscard]] std::uint16_t read_port();
+  [[nodiscard]] int id() const { return child_.id(); }
+
+ private:
+  boost::process::ipstream output_;
+  boost::process::child child_;
+};
+
+/// `paddlestand serve` before one engine.
+class ManagerProcess {
+ public:
+  /// Starts `program` and waits until it listens. Its files are in `folder`; `engine_cores` limits admission.
+  ManagerProcess(const std::string& program, const std::string& folder, std::uint16_t engine_port,
+                 int engine_cores);
+
+  /// 0 where it did not listen in time.
+  [[nodiscard]] std::uint16_t port() const { return port_; }
+  /// Memory in use, in KiB; -1 where the process has ended.
+  [[nodiscard]] long resident_kb() const;
+
+ private:
+  std::unique_ptr<ChildProcess> process_;
+  std::uint16_t port_ = 0;
+};
+
+}  // namespace paddlestand::bench
