--- a/bench_adapter/main.cpp
+++ b/bench_adapter/main.cpp
@@ -1,44 +1,57 @@
-// Reads batches from standard input, writes one reply for each to standard output.
+/// `paddlestand_bench_adapter`: reads batch frames from standard input and writes one reply frame for each to
+/// standard output, until the input ends.
 #include <algorithm>
 #include <cstdio>
+#include <cstdlib>
 #include <exception>
+#include <span>
+#include <stdexcept>
 #include <vector>
 
 #include "wire_host.hpp"
 
 namespace {
 
-// Bytes read: fewer than wanted only at the end of the input.
-std::size_t read_up_to(std::uint8_t* into, std::size_t wanted) { return std::fread(into, 1, wanted, stdin); }
+using namespace paddlestand::bench_adapter;
+
+constexpr std::size_t max_read_bytes = std::size_t{1} << 20;
+
+/// Reads up to `count` bytes; fewer only at the end of the input.
+std::size_t read_input(std::uint8_t* out, std::size_t count) { return std::fread(out, 1, count, stdin); }
+
+/// Reads the next frame. False at the end of the input. Throws MalformedFrame where the input ends inside the
+/// frame.
+bool read_frame(std::vector<std::uint8_t>& frame) {
+  frame.resize(frame_length_bytes);
+  const std::size_t received = read_input(frame.data(), frame_length_bytes);
+  if (received == 0 && std::ferror(stdin) == 0) return false;
+  if (received < frame_length_bytes) throw MalformedFrame("input ends inside a frame's length");
+  const std::size_t length = frame_length(frame);
+  // Grows as the bytes come, so that a damaged length takes no memory.
+  while (frame.size() < length) {
+    const std::size_t position = frame.size();
+    const std::size_t step = std::min(length - position, max_read_bytes);
+    frame.resize(position + step);
+    if (read_input(frame.data() + position, step) < step) throw MalformedFrame("input ends inside a frame");
+  }
+  return true;
+}
+
+void write_reply(std::span<const std::uint8_t> reply) {
+  const bool is_written = std::fwrite(reply.data(), 1, reply.size(), stdout) == reply.size();
+  if (!is_written || std::fflush(stdout) != 0) throw std::runtime_error("cannot write the reply");
+}
 
 }  // namespace
 
 int main() {
-  using namespace paddlestand::bench_adapter;
   try {
     WireHost host;
     std::vector<std::uint8_t> frame;
-    for (;;) {
-      frame.resize(4);
-      const std::size_t got = read_up_to(frame.data(), 4);
-      if (got == 0 && std::ferror(stdin) == 0) return 0;
-      if (got < 4) throw MalformedFrame("input ends inside a frame's length");
-      const std::size_t length = frame_length(frame);
-      // Grows as the bytes come, so that a damaged length takes no memory.
-      for (std::size_t have = 4; have < length;) {
-        const std::size_t step = std::min<std::size_t>(length - have, std::size_t{1} << 20);
-        frame.resize(have + step);
-        if (read_up_to(frame.data() + have, step) < step) throw MalformedFrame("input ends inside a frame");
-        have += step;
-      }
-      const auto reply = host.reply_to(frame);
-      if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
-        std::fputs("paddlestand_bench_adapter: cannot write the reply\n", stderr);
-        return 1;
-      }
-    }
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "paddlestand_bench_adapter: %s\n", problem.what());
-    return 1;
+    while (read_frame(frame)) write_reply(host.reply_to(frame));
+    return EXIT_SUCCESS;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "paddlestand_bench_adapter: %s\n", error.what());
+    return EXIT_FAILURE;
   }
 }
--- /dev/null
+++ b/bench_adapter/wire_actions.hpp
@@ -0,0 +1,14 @@
+/// Actions of a workload manager as records of a reply frame.
+#pragma once
+
+#include <cstdint>
+
+#include "paddlestand/workload_manager.hpp"
+#include "wire_io.hpp"
+
+namespace paddlestand::bench_adapter {
+
+/// Appends the record of an action of `instance`.
+void write_action(WireWriter& out, std::uint16_t instance, const Action& action);
+
+}  // namespace paddlestand::bench_adapter
--- a/bench_adapter/wire_host.cpp
+++ b/bench_adapter/wire_host.cpp
@@ -1,12 +1,12 @@
 #include "wire_host.hpp"
 
-#include <algorithm>
-#include <chrono>
 #include <utility>
 #include <variant>
 
 #include "config/settings_parser.hpp"
+#include "wire_actions.hpp"
 #include "wire_codes.hpp"
+#include "wire_events.hpp"
 #include "wire_io.hpp"
 
 namespace paddlestand::bench_adapter {
@@ -14,192 +14,6 @@
 using config::parse_settings;
 using config::ParsedSettings;
 
-namespace {
-
-// ---- Actions ----
-
-void write_action(WireWriter& out, std::uint16_t instance, const Send& action) {
-  out.begin_record(ActionCode::send, instance);
-  out.write(action.request);
-  out.write(static_cast<std::int64_t>(action.timeout.count()));
-  out.write(action.engine);
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const Cancel& action) {
-  out.begin_record(ActionCode::cancel, instance);
-  out.write(action.request);
-  out.write(static_cast<std::uint16_t>(action.attempt));
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const Reject& action) {
-  out.begin_record(ActionCode::reject, instance);
-  out.write(action.request);
-  out.write(static_cast<std::uint64_t>(action.retry_after.count()));
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const Fail& action) {
-  out.begin_record(ActionCode::fail, instance);
-  out.write(action.request);
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const SetTimer& action) {
-  out.begin_record(ActionCode::set_timer, instance);
-  out.write(action.token);
-  out.write(static_cast<std::uint64_t>(action.after.count()));
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const Probe& action) {
-  out.begin_record(ActionCode::probe, instance);
-  out.write(action.engine);
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const SetResourceGrant& action) {
-  out.begin_record(ActionCode::set_resource_grant, instance);
-  out.write(action.request);
-  out.write(action.priority);
-  out.write(static_cast<float>(action.memory_mb));
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const SubscribeEndpoints&) {
-  out.begin_record(ActionCode::subscribe_endpoints, instance);
-  out.write(std::uint8_t{1});
-}
-
-/// An engine's mark is the lower half of its id.
-void append_gossip_entry(std::string& bytes, const GossipEntry& entry) {
-  const auto threads =
-      static_cast<std::uint32_t>(std::clamp(entry.threads, 0.0, static_cast<double>(gossip_max_threads)));
-  const double memory_units = entry.memory_share * gossip_memory_units;
-  const auto memory =  // NOLINTNEXTLINE(bugprone-incorrect-roundings): it is not negative
-      static_cast<std::uint32_t>(std::clamp(memory_units, 0.0, static_cast<double>(gossip_max_memory)) + 0.5);
-  bytes.push_back(static_cast<char>(entry.engine & 255U));
-  bytes.push_back(static_cast<char>(entry.engine >> 8U & 255U));
-  bytes.push_back(static_cast<char>(threads << gossip_memory_bits | std::min(memory, gossip_max_memory)));
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const SendGossip& action) {
-  std::string bytes;
-  for (const GossipEntry& entry : action.out) {
-    if (bytes.size() + gossip_entry_bytes > max_gossip_bytes) break;
-    append_gossip_entry(bytes, entry);
-  }
-  out.begin_record(ActionCode::gossip, instance);
-  out.write(all_peers);
-  out.write_text(bytes);
-}
-
-void write_action(WireWriter& out, std::uint16_t instance, const Log& action) {
-  out.begin_record(ActionCode::log, instance);
-  out.write_text(action.text);
-}
-
-// ---- Events ----
-
-AttemptResult read_result(WireReader& in) {
-  const auto code = in.read<std::uint16_t>();
-  switch (static_cast<CompletionCode>(code)) {
-    case CompletionCode::served: return AttemptResult::served;
-    case CompletionCode::engine_error: return AttemptResult::engine_error;
-    case CompletionCode::rejected: return AttemptResult::rejected;
-    case CompletionCode::timed_out: return AttemptResult::timed_out;
-    case CompletionCode::connect_failed: return AttemptResult::connect_failed;
-    case CompletionCode::reset: return AttemptResult::reset;
-    case CompletionCode::cancelled: return AttemptResult::cancelled;
-    case CompletionCode::not_sent: return AttemptResult::not_sent;
-  }
-  throw MalformedFrame("unknown completion code " + std::to_string(code));
-}
-
-EngineEntry read_entry(WireReader& in) {
-  EngineEntry entry;
-  entry.kind = in.read<std::uint16_t>();
-  const auto state = in.read<std::uint8_t>();
-  if (state > last_engine_state) throw MalformedFrame("unknown engine condition " + std::to_string(state));
-  entry.state = static_cast<EngineState>(state);
-  entry.zone = in.read<std::uint8_t>();
-  entry.weight = in.read_float();
-  entry.cell = in.read<std::uint16_t>();
-  entry.engine = in.read<std::uint32_t>();
-  entry.started = in.read_time();
-  return entry;
-}
-
-LoadReport read_report(WireReader& in, const std::vector<std::string>& names) {
-  LoadReport report;
-  const auto count = in.read<std::uint8_t>();
-  for (std::size_t i = 0; i < count; ++i) {
-    const double value = in.read_float();
-    if (i < names.size() && names[i] == "outstanding") report.queries = value;
-  }
-  return report;
-}
-
-RequestArrived read_request(WireReader& in) {
-  RequestArrived event;
-  event.request = in.read<std::uint64_t>();
-  event.class_index = in.read<std::uint8_t>();
-  event.tenant = in.read<std::uint16_t>();
-  event.ordering_key = in.read<std::uint64_t>();
-  event.client_timeout = in.read_time();
-  const Duration cost = in.read_time();
-  event.estimated_memory_mb = in.read_float();
-  event.tables = in.read_float();
-  const auto flags = in.read<std::uint8_t>();
-  if ((flags & has_estimated_cost) != 0) event.estimated_cost = cost;
-  event.repeated = (flags & is_repeated) != 0;
-  return event;
-}
-
-AnswerStarted read_answer_start(WireReader& in) {
-  const AnswerStarted event{in.read<std::uint64_t>()};
-  in.read<std::uint16_t>();  // attempt
-  in.read<std::uint64_t>();  // time
-  in.read<std::uint32_t>();  // engine
-  return event;
-}
-
-AttemptEnded read_attempt_end(WireReader& in, const std::vector<std::string>& report_names,
-                              bool answers_report_cost) {
-  AttemptEnded event;
-  event.request = in.read<std::uint64_t>();
-  event.attempt = in.read<std::uint16_t>();
-  event.engine = in.read<std::uint32_t>();
-  event.result = read_result(in);
-  event.elapsed = in.read_time();
-  event.request_over = in.read<std::uint8_t>() != 0;
-  const auto cost = in.read<std::uint32_t>();
-  if (answers_report_cost && cost != 0 && event.result == AttemptResult::served) {
-    event.work = std::chrono::milliseconds{cost / cost_memory_units};
-    event.memory_mb = cost_memory_unit_mb * static_cast<double>(cost % cost_memory_units);
-  }
-  event.report = read_report(in, report_names);
-  return event;
-}
-
-ProbeEnded read_probe_end(WireReader& in, const std::vector<std::string>& report_names) {
-  ProbeEnded event;
-  event.result = read_result(in);
-  event.engine = in.read<std::uint32_t>();
-  event.elapsed = in.read_time();
-  event.report = read_report(in, report_names);
-  return event;
-}
-
-ProgressReported read_progress(WireReader& in) {
-  ProgressReported event;
-  event.request = in.read<std::uint64_t>();
-  event.attempt = in.read<std::uint16_t>();
-  in.read<std::uint32_t>();  // engine
-  const auto kind = in.read<std::uint8_t>();
-  if (kind < first_progress_kind || kind > last_progress_kind)
-    throw MalformedFrame("unknown note " + std::to_string(kind));
-  event.kind = static_cast<ProgressKind>(kind - first_progress_kind);
-  event.level = in.read_float();
-  return event;
-}
-
-}  // namespace
-
 std::size_t frame_length(std::span<const std::uint8_t> prefix) {
   const auto length = WireReader(prefix).read<std::uint32_t>();
   if (length < batch_header_bytes || length > max_frame_bytes)
@@ -223,15 +37,13 @@
 }
 
 void WireHost::process_record(WireReader& in, TimePoint now, WireWriter& out) {
-  const auto code = in.read<std::uint8_t>();
-  if (code == static_cast<std::uint8_t>(EventCode::endpoint_list)) {
+  const auto code = static_cast<EventCode>(in.read_code(first_event_code, last_event_code, "event code"));
+  if (code == EventCode::endpoint_list) {
     read_list(in);
     return;
   }
-  if (code < first_event_code || code > last_event_code)
-    throw MalformedFrame("unknown event code " + std::to_string(code));
   const auto id = in.read<std::uint16_t>();
-  switch (static_cast<EventCode>(code)) {
+  switch (code) {
     case EventCode::create_instance: create_instance(in, id, out); break;
     case EventCode::destroy_instance:
       find_instance(id);
@@ -244,12 +56,11 @@
 void WireHost::dispatch(std::uint16_t id, TimePoint now, const Event& event, WireWriter& out) {
   actions_.clear();
   find_instance(id).manager.handle(now, event, actions_);
-  for (const Action& action : actions_)
-    std::visit([&](const auto& alternative) { write_action(out, id, alternative); }, action);
+  for (const Action& action : actions_) write_action(out, id, action);
 }
 
-Event WireHost::read_event(WireReader& in, std::uint8_t code, std::uint16_t id) {
-  switch (static_cast<EventCode>(code)) {
+Event WireHost::read_event(WireReader& in, EventCode code, std::uint16_t id) {
+  switch (code) {
     case EventCode::progress: return read_progress(in);
     case EventCode::timer_fired: return TimerFired{in.read<std::uint32_t>()};
     case EventCode::attempt_ended: {
@@ -272,17 +83,14 @@
     case EventCode::create_instance:
     case EventCode::destroy_instance: break;  // no events: see process_record()
   }
-  throw MalformedFrame("unknown event code " + std::to_string(code));
+  throw MalformedFrame("unknown event code " + std::to_string(static_cast<unsigned>(code)));
 }
 
 EndpointsChanged WireHost::read_endpoints(WireReader& in) const {
   const auto number = in.read<std::uint32_t>();
-  in.read<std::uint64_t>();  // time
-  const auto update = in.read<std::uint8_t>();
-  if (update > last_endpoint_update)
-    throw MalformedFrame("unknown scope of a list " + std::to_string(update));
+  in.skip<std::uint64_t>();  // time
   EndpointsChanged event;
-  event.scope = static_cast<EndpointUpdate>(update);
+  event.scope = static_cast<EndpointUpdate>(in.read_code(0, last_endpoint_update, "scope of a list"));
   if (event.scope != EndpointUpdate::failed) event.engines = list(number);
   return event;
 }
@@ -308,8 +116,9 @@
   const auto rows = in.read<std::uint32_t>();
   list(number);  // throws where there is none of that number
   if (rows > in.remaining_bytes() / list_entry_bytes) throw MalformedFrame("list longer than its frame");
-  lists_[number].clear();
-  for (std::uint32_t row = 0; row < rows; ++row) lists_[number].push_back(read_entry(in));
+  auto& entries = lists_[number];
+  entries.clear();
+  for (std::uint32_t row = 0; row < rows; ++row) entries.push_back(read_entry(in));
 }
 
 void WireHost::create_instance(WireReader& in, std::uint16_t id, WireWriter& out) {
--- a/bench_adapter/wire_host.hpp
+++ b/bench_adapter/wire_host.hpp
@@ -28,9 +28,11 @@
 /// impossible.
 std::size_t frame_length(std::span<const std::uint8_t> prefix);
 
+enum class EventCode : std::uint8_t;
 class WireReader;
 class WireWriter;
 
+/// The workload managers of a simulation, each an instance with a number. Not thread-safe.
 class WireHost {
  public:
   /// Takes a complete batch frame, with its header, and returns the reply frame. Throws MalformedFrame; the
@@ -50,7 +52,7 @@
   void process_record(WireReader& in, TimePoint now, WireWriter& out);
   void read_list(WireReader& in);
   void create_instance(WireReader& in, std::uint16_t id, WireWriter& out);
-  Event read_event(WireReader& in, std::uint8_t code, std::uint16_t id);
+  Event read_event(WireReader& in, EventCode code, std::uint16_t id);
   EndpointsChanged read_endpoints(WireReader& in) const;
   GossipReceived read_gossip(WireReader& in, const Instance& instance);
   void dispatch(std::uint16_t id, TimePoint now, const Event& event, WireWriter& out);
--- a/bench_adapter/wire_io.hpp
+++ b/bench_adapter/wire_io.hpp
@@ -7,6 +7,7 @@
 #include <cstring>
 #include <limits>
 #include <span>
+#include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
@@ -32,6 +33,20 @@
     return value;
   }
 
+  /// Skips a value that has no use here.
+  template <typename T>
+  void skip() {
+    read_bytes(sizeof(T));
+  }
+
+  /// Reads a byte from `first` to `last`. `what` names it in the error.
+  std::uint8_t read_code(std::uint8_t first, std::uint8_t last, std::string_view what) {
+    const auto code = read<std::uint8_t>();
+    if (code < first || code > last)
+      throw MalformedFrame("unknown " + std::string(what) + " " + std::to_string(code));
+    return code;
+  }
+
   std::span<const std::uint8_t> read_bytes(std::size_t count) {
     if (count > remaining_bytes()) throw MalformedFrame("frame ends inside a record");
     const auto part = bytes_.subspan(position_, count);
@@ -65,6 +80,9 @@
     std::memcpy(bytes_.data() + position, &value, sizeof(T));
   }
 
+  /// Nanoseconds.
+  void write_time(Duration time) { write(static_cast<std::int64_t>(time.count())); }
+
   void begin_record(ActionCode code, std::uint16_t instance) {
     write(static_cast<std::uint8_t>(code));
     write(instance);
