--- a/tests/clients/libpq_test.cpp
+++ b/tests/clients/libpq_test.cpp
@@ -12,21 +12,25 @@
 using Connection = std::unique_ptr<PGconn, void (*)(PGconn*)>;
 using Result = std::unique_ptr<PGresult, void (*)(PGresult*)>;
 
+/// A manager's settings with one engine on this port of the local host.
+config::ManagerConfig make_config(std::uint16_t engine_port) {
+  const std::string text = R"(<manager xmlns="urn:paddlestand:manager:1" name="m"><listen port="0"/>
+            <kinds><kind name="std" cores="8" memory-mb="16384"/></kinds>
+            <classes otherwise="q"><class name="q" aim="5s" deadline="15s" late-worth="1" repeat="safe"/></classes>
+            <decisions/><log level="error"/><engines><engine id="1" name="e" address="127.0.0.1" kind="std" port=")" +
+                           std::to_string(engine_port) + R"("/></engines></manager>)";
+  return std::get<config::ManagerConfig>(config::parse_manager_config(text, "test"));
+}
+
+/// A manager before one test engine.
 class Libpq : public ::testing::Test {
  protected:
   Libpq()
       : manager_([&](auto& io) {
-          const std::string text = R"(<manager xmlns="urn:paddlestand:manager:1" name="m"><listen port="0"/>
-            <kinds><kind name="std" cores="8" memory-mb="16384"/></kinds>
-            <classes otherwise="q"><class name="q" aim="5s" deadline="15s" late-worth="1" repeat="safe"/></classes>
-            <decisions/><log level="error"/><engines><engine id="1" name="e" address="127.0.0.1" kind="std" port=")" +
-                                   std::to_string(engine_->port()) + R"("/></engines></manager>)";
-          return std::make_unique<PostgresServer>(
-              io, std::get<config::ManagerConfig>(config::parse_manager_config(text, "test")), "",
-              trusted_users(), "");
+          return std::make_unique<PostgresServer>(io, make_config(engine_->port()), "", trusted_users(), "");
         }) {}
 
-  /// `parameters`: of the connection string, beside the usual ones.
+  /// Connects to the manager. `parameters`: of the connection string, beside the usual ones.
   Connection connect(const std::string& parameters = "") {
     const auto port = manager_.run([](PostgresServer& server) { return server.port(); });
     const std::string connection_string =
@@ -113,6 +117,7 @@
   char problem[256];
   EXPECT_EQ(PQcancel(cancel, problem, sizeof(problem)), 1) << problem;
   PQfreeCancel(cancel);
+
   const Result answer(PQgetResult(connection.get()), PQclear);
   EXPECT_STREQ(PQresultErrorField(answer.get(), PG_DIAG_SQLSTATE), "57014");
 }
