--- a/simulation/scenario/client.cpp
+++ b/simulation/scenario/client.cpp
@@ -23,10 +23,21 @@
 
 /// A client waits for so long beyond its timeout, to see whether and when an answer comes.
 constexpr auto observation_time = std::chrono::seconds(3);
+/// Of the numeric tags of a statement.
+constexpr std::size_t max_tags_bytes = 640;
 
+/// The clock of all logs of a day, in nanoseconds.
 std::int64_t shared_clock() { return steady_clock::now().time_since_epoch().count(); }
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-6; }
 
+std::vector<std::unique_ptr<asio::steady_timer>> make_wake_timers(asio::io_context& io, std::size_t count) {
+  std::vector<std::unique_ptr<asio::steady_timer>> timers(count);
+  for (auto& timer : timers)
+    timer = std::make_unique<asio::steady_timer>(io, steady_clock::time_point::max());
+  return timers;
+}
+
+/// SQLSTATE codes of a manager's answers (docs/operators/answers.md).
 OutcomeKind outcome_of_error(const pg::Fields& fields, bool is_retry_safe) {
   if (fields.code == "53400") return OutcomeKind::rejected;
   if (fields.code == "57P01") return is_retry_safe ? OutcomeKind::rejected : OutcomeKind::failed;
@@ -35,7 +46,7 @@
   return OutcomeKind::failed;
 }
 
-/// After which no client retries, whatever it was told.
+/// Whether no client retries after such an outcome, whatever its answer advised.
 bool is_final(OutcomeKind kind) {
   return kind == OutcomeKind::served || kind == OutcomeKind::cancelled || kind == OutcomeKind::disconnected ||
          kind == OutcomeKind::unanswered;
@@ -44,6 +55,7 @@
 }  // namespace
 
 std::string_view name_of(OutcomeKind kind) {
+  // Words of the log's format, which the trace checker reads.
   static constexpr std::array<std::string_view, static_cast<std::size_t>(OutcomeKind::count)> names{
       "", "served", "refused", "failed", "late", "cancelled", "gone", "lost", "unanswered", "unreached"};
   return names[static_cast<std::size_t>(kind)];
@@ -93,10 +105,8 @@
       max_connections_(std::max<std::uint32_t>(1, day.sessions / static_cast<std::uint32_t>(ports_.size()))),
       idle_connections_(ports_.size()),
       connections_(ports_.size()),
-      results_(day.classes.size()) {
-  for (std::size_t i = 0; i < ports_.size(); ++i)
-    connection_free_.push_back(std::make_unique<asio::steady_timer>(io_, steady_clock::time_point::max()));
-}
+      connection_free_(make_wake_timers(io, ports_.size())),
+      results_(day.classes.size()) {}
 
 // ---- Requests ----
 
@@ -113,8 +123,9 @@
   for (std::uint32_t number = 0; number <= day_.retries; ++number) {
     const Outcome outcome = co_await attempt(arrival, number);
     if (!may_retry(arrival, outcome, steady_clock::now() - start)) co_return;
-    const bool waits_as_told = arrival.respects_retry_after && outcome.retry_after;
-    asio::steady_timer timer(io_, waits_as_told ? *outcome.retry_after : day_.retry_backoff * (number + 1));
+    const bool uses_retry_after = arrival.respects_retry_after && outcome.retry_after;
+    const Duration wait = uses_retry_after ? *outcome.retry_after : day_.retry_backoff * (number + 1);
+    asio::steady_timer timer(io_, wait);
     error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
@@ -145,25 +156,25 @@
   schedule_interruption(arrival, connection, timer, interruption);
   const Answer answer = co_await exchange(id, connection, std::move(bytes));
   timer.cancel();
-  Outcome outcome = answer.outcome;
-  if (interruption->has_disconnected) {
-    outcome.kind = OutcomeKind::disconnected;
-  } else if (!answer.is_complete && !answer.is_fatal) {
-    outcome.kind = interruption->has_given_up ? OutcomeKind::unanswered : OutcomeKind::lost;
-  }
+  const Outcome outcome = outcome_of(answer, *interruption);
   const double elapsed_ms = milliseconds(steady_clock::now() - sent_at);
-  write_log({{"t", shared_clock()},
-             {"what", "answer"},
-             {"id", id},
-             {"kind", std::string(name_of(outcome.kind))},
-             {"rows", answer.rows},
-             {"harmless", outcome.is_retry_safe}});
+  log_answer(id, outcome, answer.rows);
   record(arrival, outcome, elapsed_ms);
   if (!answer.is_complete) connection->close();
   release(connection);
   co_return outcome;
 }
 
+Clients::Outcome Clients::outcome_of(const Answer& answer, const Interruption& interruption) {
+  Outcome outcome = answer.outcome;
+  if (interruption.has_disconnected) {
+    outcome.kind = OutcomeKind::disconnected;
+  } else if (!answer.is_complete && !answer.is_fatal) {
+    outcome.kind = interruption.has_given_up ? OutcomeKind::unanswered : OutcomeKind::lost;
+  }
+  return outcome;
+}
+
 asio::awaitable<Clients::Answer> Clients::exchange(const std::string& id, ConnectionPtr connection,
                                                    std::string bytes) {
   Answer answer;
@@ -197,29 +208,40 @@
   write_log({{"t", shared_clock()}, {"what", "extra"}, {"id", id}});
 }
 
-// Its effects are on the connection; the handler may run after the attempt has ended.
+// The handlers hold the connection and the interruption: they may run after the attempt has ended.
 void Clients::schedule_interruption(const Arrival& arrival, const ConnectionPtr& connection,
                                     asio::steady_timer& timer,
                                     const std::shared_ptr<Interruption>& interruption) {
   if (arrival.cancel_after) {
-    timer.expires_after(*arrival.cancel_after);
-    timer.async_wait([this, connection](const error_code& stopped) {
+    schedule_cancel(*arrival.cancel_after, connection, timer);
+    return;
+  }
+  if (arrival.disconnect_after) {
+    timer.expires_after(*arrival.disconnect_after);
+    timer.async_wait([connection, interruption](const error_code& stopped) {
       if (stopped) return;
-      const pg::CancelKey key = connection->key;
-      asio::co_spawn(io_, send_cancel(connection->manager, key.process, key.secret), asio::detached);
+      interruption->has_disconnected = true;
+      connection->close();
     });
     return;
   }
-  const bool disconnects = arrival.disconnect_after.has_value();
-  timer.expires_after(disconnects ? *arrival.disconnect_after
-                                  : Duration(arrival.client_timeout + observation_time));
-  timer.async_wait([connection, interruption, disconnects](const error_code& stopped) {
+  timer.expires_after(arrival.client_timeout + observation_time);
+  timer.async_wait([connection, interruption](const error_code& stopped) {
     if (stopped) return;
-    (disconnects ? interruption->has_disconnected : interruption->has_given_up) = true;
+    interruption->has_given_up = true;
     connection->close();
   });
 }
 
+void Clients::schedule_cancel(Duration delay, const ConnectionPtr& connection, asio::steady_timer& timer) {
+  timer.expires_after(delay);
+  timer.async_wait([this, connection](const error_code& stopped) {
+    if (stopped) return;
+    const pg::CancelKey key = connection->key;
+    asio::co_spawn(io_, send_cancel(connection->manager, key.process, key.secret), asio::detached);
+  });
+}
+
 void Clients::record(const Arrival& arrival, const Outcome& outcome, double elapsed_ms) {
   ClassResults& results = results_[arrival.class_index];
   ++results.by_outcome[static_cast<std::size_t>(outcome.kind)];
@@ -230,7 +252,7 @@
 
 std::string Clients::statement_of(const Arrival& arrival, const std::string& id) const {
   const DayClass& day_class = day_.classes[arrival.class_index];
-  std::array<char, 640> tags{};
+  std::array<char, max_tags_bytes> tags{};
   std::snprintf(
       tags.data(), tags.size(),
       "select 1 /*class='%s',cost_ms='%.3f',memory_mb='%.1f',deadline_ms='%.0f',tables='%u',sim_id='%s',"
@@ -258,6 +280,15 @@
   write_log(line);
 }
 
+void Clients::log_answer(const std::string& id, const Outcome& outcome, std::uint64_t rows) {
+  write_log({{"t", shared_clock()},
+             {"what", "answer"},
+             {"id", id},
+             {"kind", std::string(name_of(outcome.kind))},
+             {"rows", rows},
+             {"harmless", outcome.is_retry_safe}});
+}
+
 void Clients::write_log(const nlohmann::json& line) {
   const std::string text = line.dump() + "\n";
   std::fwrite(text.data(), 1, text.size(), log_);
--- a/simulation/scenario/client.hpp
+++ b/simulation/scenario/client.hpp
@@ -34,25 +34,26 @@
   unreached,  ///< no connection could be opened: nothing was sent
   count
 };
-/// As in the log.
+/// The outcome's name in the log.
 [[nodiscard]] std::string_view name_of(OutcomeKind kind);
 
+/// What became of the attempts of one class.
 struct ClassResults {
   std::uint64_t attempts = 0;
   std::array<std::uint64_t, static_cast<std::size_t>(OutcomeKind::count)> by_outcome{};
-  std::vector<double> served_ms;
+  std::vector<double> served_ms;  ///< response times of the served attempts, in order of their ends
 
   [[nodiscard]] std::uint64_t count(OutcomeKind kind) const {
     return by_outcome[static_cast<std::size_t>(kind)];
   }
 };
 
-/// Belongs to the event loop's thread.
+/// All clients of a day, with their pools of connections. Belongs to the event loop's thread.
 class Clients {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  /// `ports`: of the managers, on loopback. `log` must outlive this object.
+  /// `ports`: of the managers, on loopback. `io`, `day` and `log` must outlive this object.
   Clients(boost::asio::io_context& io, const Day& day, std::vector<std::uint16_t> ports, std::FILE* log);
 
   /// Sends a request now, and retries it by itself. Returns at once.
@@ -84,16 +85,19 @@
   void schedule_interruption(const Arrival& arrival, const ConnectionPtr& connection,
                              boost::asio::steady_timer& timer,
                              const std::shared_ptr<Interruption>& interruption);
+  void schedule_cancel(Duration delay, const ConnectionPtr& connection, boost::asio::steady_timer& timer);
+  static Outcome outcome_of(const Answer& answer, const Interruption& interruption);
   void record(const Arrival& arrival, const Outcome& outcome, double elapsed_ms);
 
   awaitable<ConnectionPtr> acquire_connection(std::uint32_t manager);
-  ConnectionPtr take_idle_connection(std::uint32_t manager);
+  ConnectionPtr pop_idle_connection(std::uint32_t manager);
   awaitable<bool> open(Connection& connection);
   void release(const ConnectionPtr& connection);
   awaitable<> send_cancel(std::uint32_t manager, std::uint32_t process, std::uint32_t secret);
 
   [[nodiscard]] std::string statement_of(const Arrival& arrival, const std::string& id) const;
   void log_request(const Arrival& arrival, const std::string& id);
+  void log_answer(const std::string& id, const Outcome& outcome, std::uint64_t rows);
   void write_log(const nlohmann::json& line);
 
   boost::asio::io_context& io_;
--- a/simulation/scenario/client_connection.cpp
+++ b/simulation/scenario/client_connection.cpp
@@ -13,6 +13,8 @@
 
 namespace {
 
+constexpr std::size_t cancel_key_bytes = 8;  // of BackendKeyData: process and secret
+
 std::uint32_t big_endian(const unsigned char* bytes) {
   return static_cast<std::uint32_t>(bytes[0]) << 24U | static_cast<std::uint32_t>(bytes[1]) << 16U |
          static_cast<std::uint32_t>(bytes[2]) << 8U | bytes[3];
@@ -20,7 +22,14 @@
 
 pg::CancelKey read_key(std::string_view body) {
   const auto* bytes = reinterpret_cast<const unsigned char*>(body.data());
-  return {big_endian(bytes), big_endian(bytes + 4)};
+  return {big_endian(bytes), big_endian(bytes + sizeof(std::uint32_t))};
+}
+
+std::string startup_message() {
+  const std::vector<std::pair<std::string, std::string>> parameters{{"user", "desk"}, {"database", "day"}};
+  std::string bytes;
+  pg::put_startup(bytes, parameters);
+  return bytes;
 }
 
 }  // namespace
@@ -28,7 +37,7 @@
 /// An idle connection, or a new one, or one that another request releases. Null where none can be opened.
 asio::awaitable<Clients::ConnectionPtr> Clients::acquire_connection(std::uint32_t manager) {
   for (;;) {
-    if (auto idle = take_idle_connection(manager)) co_return idle;
+    if (auto idle = pop_idle_connection(manager)) co_return idle;
     if (connections_[manager] < max_connections_) break;
     error_code woken;
     co_await connection_free_[manager]->async_wait(asio::redirect_error(asio::use_awaitable, woken));
@@ -43,7 +52,7 @@
 
 // A connection that has ended while it was idle, or on which the end of its session was announced, is not
 // used.
-Clients::ConnectionPtr Clients::take_idle_connection(std::uint32_t manager) {
+Clients::ConnectionPtr Clients::pop_idle_connection(std::uint32_t manager) {
   auto& idle = idle_connections_[manager];
   while (!idle.empty()) {
     auto connection = std::move(idle.back());
@@ -66,9 +75,7 @@
                                            asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return false;
   connection.socket.set_option(tcp::no_delay(true), error);
-  std::string startup;
-  const std::vector<std::pair<std::string, std::string>> parameters{{"user", "desk"}, {"database", "day"}};
-  pg::put_startup(startup, parameters);
+  const std::string startup = startup_message();
   co_await asio::async_write(connection.socket, asio::buffer(startup),
                              asio::redirect_error(asio::use_awaitable, error));
   while (!error) {
@@ -77,7 +84,8 @@
     if (error) break;
     connection.frames.feed({connection.buffer.data(), received});
     while (const auto frame = connection.frames.next()) {
-      if (frame->type == 'K' && frame->body.size() == 8) connection.key = read_key(frame->body);
+      if (frame->type == 'K' && frame->body.size() == cancel_key_bytes)
+        connection.key = read_key(frame->body);
       if (frame->type == 'E') error = asio::error::connection_refused;
       if (frame->type == 'Z') co_return true;
     }
--- a/simulation/scenario/client_connection.hpp
+++ b/simulation/scenario/client_connection.hpp
@@ -12,6 +12,7 @@
 
 namespace paddlestand::simulation {
 
+/// A socket, the frames that were received on it, and the session's cancel key.
 struct Clients::Connection {
   static constexpr std::size_t max_message_bytes = 64U << 20U;
   static constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
--- a/simulation/scenario/scenario.cpp
+++ b/simulation/scenario/scenario.cpp
@@ -7,17 +7,28 @@
 #include <boost/random/uniform_int_distribution.hpp>
 #include <boost/random/uniform_real_distribution.hpp>
 #include <cmath>
+#include <initializer_list>
+#include <optional>
 #include <string_view>
+#include <utility>
 
 namespace paddlestand::simulation {
 namespace {
 
 constexpr std::uint32_t max_engines = 200;
 constexpr std::uint32_t max_managers = 50;
+constexpr double min_requests_per_s = 1e-6;  // keeps the gaps of a class without requests finite
+constexpr double min_rate_factor = 1e-6;
+constexpr std::uint64_t seed_stride = 1000003;  // between the seeds of two days; more than there are classes
+constexpr double heavy_probability = 0.1;  // of a request to be one that a fault "heavy_tail" makes costlier
+constexpr std::uint32_t hot_key = 1;  // which all requests have during a fault "hot_key"
+constexpr std::uint32_t max_table_set = 12;  // sets of tables that requests read, numbered from 1
+constexpr int early_timeout_divisor = 4;  // of the deadline, for a client that gives up early
+constexpr double max_interruption_delay_s = 0.5;  // of a cancel or a disconnect, after the query was sent
 
 double seconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-9; }
 
-// ---- Reading ----
+// ---- Reading: the attributes' names are those of schema/day.xsd ----
 
 Idempotency idempotency_of(std::string_view repeat) {
   if (repeat == "safe") return Idempotency::idempotent;
@@ -103,10 +114,25 @@
                      [&name](const DayClass& day_class) { return day_class.name == name; });
 }
 
+/// Reads the faults of a day whose classes have been read. The first one that does not fit the day is an
+/// error.
+std::optional<config::Fault> read_faults(const config::Element& root, const std::string& path, Day& day) {
+  for (const auto& element : root.children("trouble")) {
+    const DayFault& fault = day.faults.emplace_back(read_fault(element));
+    if (!fault.class_name.empty() && !has_class(day, fault.class_name)) {
+      return config::Fault{path, element.line(),
+                           "a trouble names the unknown class '" + fault.class_name + "'"};
+    }
+    if (fault.at >= day.length)
+      return config::Fault{path, element.line(), "a trouble begins behind the day's end"};
+  }
+  return std::nullopt;
+}
+
 // ---- Arrivals ----
 
-bool is_active(const DayFault& fault, std::string_view kind, double at_s) {
-  return fault.kind == kind && at_s >= seconds(fault.at) && at_s < seconds(fault.at + fault.length);
+bool is_active(const DayFault& fault, double at_s) {
+  return at_s >= seconds(fault.at) && at_s < seconds(fault.at + fault.length);
 }
 
 bool concerns(const DayFault& fault, const DayClass& day_class) {
@@ -121,7 +147,7 @@
       : day_(day),
         class_(day.classes[class_index]),
         class_index_(class_index),
-        random_(day.seed * 1000003 + class_index) {}
+        random_(day.seed * seed_stride + class_index) {}
 
   void append_to(std::vector<Arrival>& arrivals) {
     const double end_s = seconds(day_.length);
@@ -129,8 +155,8 @@
     while (at_s < end_s) {
       const TenantShares shares = tenant_shares(at_s);
       double rate_factor = load_factor(at_s);
-      if (!shares.shares.empty()) rate_factor *= std::max(shares.total, 1e-6);
-      at_s += gap_(random_) / std::max(class_.requests_per_s * rate_factor, 1e-6);
+      if (!shares.shares.empty()) rate_factor *= std::max(shares.total, min_rate_factor);
+      at_s += gap_(random_) / std::max(class_.requests_per_s * rate_factor, min_requests_per_s);
       if (at_s >= end_s) break;
       arrivals.push_back(make_arrival(at_s, shares));
     }
@@ -142,12 +168,20 @@
     double total = 0;
   };
 
-  [[nodiscard]] double load_factor(double at_s) const {
-    double factor = 1;
+  /// Calls `visit` with each fault of one of these kinds that is active then, in the order of the day's file.
+  template <typename Visit>
+  void for_each_active(std::initializer_list<std::string_view> kinds, double at_s, Visit visit) const {
     for (const DayFault& fault : day_.faults) {
-      const bool changes_load = is_active(fault, "burst", at_s) || is_active(fault, "shift", at_s);
-      if (concerns(fault, class_) && changes_load) factor *= fault.amount;
+      const bool is_of_kind = std::find(kinds.begin(), kinds.end(), fault.kind) != kinds.end();
+      if (is_of_kind && is_active(fault, at_s)) visit(fault);
     }
+  }
+
+  [[nodiscard]] double load_factor(double at_s) const {
+    double factor = 1;
+    for_each_active({"burst", "shift"}, at_s, [&](const DayFault& fault) {
+      if (concerns(fault, class_)) factor *= fault.amount;
+    });
     return factor;
   }
 
@@ -156,9 +190,9 @@
     TenantShares result;
     for (const DayTenant& tenant : day_.tenants) {
       double share = tenant.share;
-      for (const DayFault& fault : day_.faults) {
-        if (is_active(fault, "tenant_burst", at_s) && fault.tenant == tenant.name) share *= fault.amount;
-      }
+      for_each_active({"tenant_burst"}, at_s, [&](const DayFault& fault) {
+        if (fault.tenant == tenant.name) share *= fault.amount;
+      });
       result.shares.push_back(share);
       result.total += share;
     }
@@ -173,7 +207,7 @@
     if (!shares.shares.empty()) arrival.tenant = draw_tenant(shares);
     draw_work(arrival, at_s);
     draw_key(arrival, at_s);
-    arrival.tables = draw_integer(1, 12);
+    arrival.tables = draw_integer(1, max_table_set);
     draw_client_timeout(arrival, at_s);
     draw_interruption(arrival);
     arrival.respects_retry_after = uniform_(random_) < day_.retry_after_compliance;
@@ -196,37 +230,36 @@
   void draw_work(Arrival& arrival, double at_s) {
     const double sigma = class_.work_spread;
     arrival.work_s = class_.mean_work_s * std::exp(sigma * normal_(random_) - sigma * sigma / 2);
-    const bool is_heavy = uniform_(random_) < 0.1;
+    const bool is_heavy = uniform_(random_) < heavy_probability;
     arrival.estimated_s = arrival.work_s * std::exp(class_.estimate_spread * normal_(random_));
-    for (const DayFault& fault : day_.faults) {
-      if (!is_heavy || !is_active(fault, "heavy_tail", at_s) || !concerns(fault, class_)) continue;
+    if (!is_heavy) return;
+    for_each_active({"heavy_tail"}, at_s, [&](const DayFault& fault) {
+      if (!concerns(fault, class_)) return;
       arrival.work_s *= fault.amount;
       arrival.estimated_s *= fault.amount;
-    }
+    });
   }
 
   void draw_key(Arrival& arrival, double at_s) {
     if (class_.keys == 0) return;
     arrival.key = draw_integer(1, class_.keys);
-    for (const DayFault& fault : day_.faults) {
-      if (is_active(fault, "hot_key", at_s)) arrival.key = 1;
-    }
+    for_each_active({"hot_key"}, at_s, [&](const DayFault&) { arrival.key = hot_key; });
   }
 
   void draw_client_timeout(Arrival& arrival, double at_s) {
     bool is_early = uniform_(random_) < day_.early_timeout_probability;
-    for (const DayFault& fault : day_.faults) {
-      if (is_active(fault, "give_up", at_s) && uniform_(random_) < fault.amount) is_early = true;
-    }
+    for_each_active({"give_up"}, at_s, [&](const DayFault& fault) {
+      if (uniform_(random_) < fault.amount) is_early = true;
+    });
     arrival.client_timeout = class_.deadline;
-    if (is_early) arrival.client_timeout /= 4;
+    if (is_early) arrival.client_timeout /= early_timeout_divisor;
   }
 
   void draw_interruption(Arrival& arrival) {
     const double cancel_draw = uniform_(random_);
     const double disconnect_draw = uniform_(random_);
     const double time_draw = uniform_(random_);
-    const Duration after{std::llround(time_draw * 0.5e9)};
+    const Duration after{std::llround(time_draw * max_interruption_delay_s * 1e9)};
     if (cancel_draw < day_.cancel_probability) {
       arrival.cancel_after = after;
     } else if (disconnect_draw < day_.disconnect_probability) {
@@ -262,15 +295,7 @@
     day.tenants.push_back({element.text("name"), element.number("quota-per-s"), element.number("share")});
   for (const auto& element : root.children("class")) day.classes.push_back(read_class(element));
   read_clients(*root.child("clients"), day);
-  for (const auto& element : root.children("trouble")) {
-    const DayFault& fault = day.faults.emplace_back(read_fault(element));
-    if (!fault.class_name.empty() && !has_class(day, fault.class_name)) {
-      return config::Fault{path, element.line(),
-                           "a trouble names the unknown class '" + fault.class_name + "'"};
-    }
-    if (fault.at >= day.length)
-      return config::Fault{path, element.line(), "a trouble begins behind the day's end"};
-  }
+  if (auto fault = read_faults(root, path, day)) return *std::move(fault);
   if (day.engines == 0 || day.engines > max_engines || day.managers == 0 || day.managers > max_managers)
     return config::Fault{path, engines.line(), "wanted: 1 to 200 engines and 1 to 50 managers"};
   return day;
--- a/test_engine/server.hpp
+++ b/test_engine/server.hpp
@@ -9,6 +9,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
 #include <memory>
+#include <span>
 #include <string>
 #include <vector>
 
@@ -40,6 +41,9 @@
  private:
   struct Command;
 
+  [[nodiscard]] static std::span<const Command> commands();
+  [[nodiscard]] static std::string unknown_command_text();
+
   void listen();
   boost::asio::awaitable<void> accept_sessions();
   boost::asio::awaitable<void> accept_control();
@@ -49,6 +53,10 @@
   // Commands (server_commands.cpp).
   void clear_faults();
   void hang();
+  void vanish();
+  void slow_down(double factor);
+  void clear_table_cache();
+  void delay_load_reports(double period_ms);
   void stop_listening();
   void abort_sessions();
   void restart_cold();
--- a/test_engine/server_commands.cpp
+++ b/test_engine/server_commands.cpp
@@ -3,6 +3,7 @@
 #include <array>
 #include <cstdlib>
 #include <nlohmann/json.hpp>
+#include <span>
 #include <sstream>
 #include <string_view>
 
@@ -12,28 +13,18 @@
 
 namespace paddlestand::test_engine {
 
+/// A command: its word, and what it does with the number behind it (zero where there is none).
 struct Server::Command {
   std::string_view word;
   void (*execute)(Server& server, double value);
 };
 
-std::string Server::command(const std::string& line) {
-  static constexpr std::array commands{
+std::span<const Server::Command> Server::commands() {
+  static constexpr std::array all{
       Command{"normal", [](Server& server, double) { server.clear_faults(); }},
-      Command{"hang",
-              [](Server& server, double) {
-                server.engine_->faults.vanish = false;
-                server.hang();
-              }},
-      Command{"vanish",
-              [](Server& server, double) {
-                server.engine_->faults.vanish = true;
-                server.hang();
-              }},
-      Command{"slow",
-              [](Server& server, double factor) {
-                server.engine_->jobs.model().slow_down(shared_clock_s(), factor);
-              }},
+      Command{"hang", [](Server& server, double) { server.hang(); }},
+      Command{"vanish", [](Server& server, double) { server.vanish(); }},
+      Command{"slow", [](Server& server, double factor) { server.slow_down(factor); }},
       Command{"fail", [](Server& server, double share) { server.engine_->faults.failure_share = share; }},
       Command{"lose", [](Server& server, double share) { server.engine_->faults.lost_answer_share = share; }},
       Command{"mute-first", [](Server& server, double) { server.engine_->faults.mute_before_answer = true; }},
@@ -42,32 +33,35 @@
       Command{"half-close", [](Server& server, double) { server.engine_->faults.half_close = true; }},
       Command{"full", [](Server& server, double) { server.engine_->faults.overloaded = true; }},
       Command{"drain", [](Server& server, double) { server.engine_->faults.draining = true; }},
-      Command{"report-late",
-              [](Server& server, double period_ms) { server.engine_->report_period_s = period_ms / 1000; }},
-      Command{"flush", [](Server& server,
-                          double) { server.engine_->jobs.model().clear_table_cache(shared_clock_s()); }},
+      Command{"report-late", [](Server& server, double period_ms) { server.delay_load_reports(period_ms); }},
+      Command{"flush", [](Server& server, double) { server.clear_table_cache(); }},
       Command{"reset", [](Server& server, double) { server.abort_sessions(); }},
       Command{"refuse", [](Server& server, double) { server.stop_listening(); }},
       Command{"cold", [](Server& server, double) { server.restart_cold(); }},
       Command{"die", [](Server& server, double) { server.die(); }}};
+  return all;
+}
 
+std::string Server::command(const std::string& line) {
   std::istringstream in(line);
   std::string word;
   double value = 0;
   in >> word >> value;
   engine_->log.write("trouble", "", {{"command", line}});
-  const auto found = std::find_if(commands.begin(), commands.end(),
+  const auto found = std::find_if(commands().begin(), commands().end(),
                                   [&word](const Command& command) { return command.word == word; });
-  if (found == commands.end()) {
-    std::string wanted = "unknown command; wanted:";
-    for (const Command& command : commands) wanted += " " + std::string(command.word);
-    return wanted;
-  }
+  if (found == commands().end()) return unknown_command_text();
   found->execute(*this, value);
   engine_->jobs.update();
   return "ok";
 }
 
+std::string Server::unknown_command_text() {
+  std::string text = "unknown command; wanted:";
+  for (const Command& command : commands()) text += " " + std::string(command.word);
+  return text;
+}
+
 void Server::clear_faults() {
   const bool is_listening = acceptor_->is_open();
   engine_->faults = {};
@@ -79,10 +73,22 @@
 }
 
 void Server::hang() {
+  engine_->faults.vanish = false;
   engine_->faults.hang = true;
   engine_->jobs.model().hang(shared_clock_s());
 }
 
+void Server::vanish() {
+  hang();
+  engine_->faults.vanish = true;
+}
+
+void Server::slow_down(double factor) { engine_->jobs.model().slow_down(shared_clock_s(), factor); }
+
+void Server::clear_table_cache() { engine_->jobs.model().clear_table_cache(shared_clock_s()); }
+
+void Server::delay_load_reports(double period_ms) { engine_->report_period_s = period_ms / 1000; }
+
 void Server::stop_listening() {
   boost::system::error_code ignored;
   acceptor_->close(ignored);
