--- a/simulation/scenario/client.cpp
+++ b/simulation/scenario/client.cpp
@@ -13,11 +13,14 @@
 #include "client_connection.hpp"
 #include "protocol/pg/messages.hpp"
 #include "protocol/pg/sqlstate.hpp"
+#include "trace_checker/log_words.hpp"
 
 namespace paddlestand::simulation {
 namespace asio = boost::asio;
 using boost::system::error_code;
 using std::chrono::steady_clock;
+namespace answer_kind = trace_checker::answer_kind;
+namespace log_event = trace_checker::log_event;
 
 namespace {
 
@@ -55,13 +58,21 @@
 }  // namespace
 
 std::string_view name_of(OutcomeKind kind) {
-  // Words of the log's format, which the trace checker reads.
   static constexpr std::array<std::string_view, static_cast<std::size_t>(OutcomeKind::count)> names{
-      "", "served", "refused", "failed", "late", "cancelled", "gone", "lost", "unanswered", "unreached"};
+      "",
+      answer_kind::served,
+      answer_kind::rejected,
+      answer_kind::failed,
+      answer_kind::late,
+      answer_kind::cancelled,
+      answer_kind::disconnected,
+      answer_kind::lost,
+      answer_kind::unanswered,
+      answer_kind::unreached};
   return names[static_cast<std::size_t>(kind)];
 }
 
-/// What came back for one query.
+/// What was received for one query.
 struct Clients::Answer {
   Outcome outcome;
   std::uint64_t rows = 0;
@@ -205,7 +216,7 @@
     connection.close();
     return;
   }
-  write_log({{"t", shared_clock()}, {"what", "extra"}, {"id", id}});
+  write_log({{"t", shared_clock()}, {"what", std::string(log_event::surplus_message)}, {"id", id}});
 }
 
 // The handlers hold the connection and the interruption: they may run after the attempt has ended.
@@ -270,7 +281,7 @@
 
 void Clients::log_request(const Arrival& arrival, const std::string& id) {
   nlohmann::json line{{"t", shared_clock()},
-                      {"what", "asked"},
+                      {"what", std::string(log_event::request_sent)},
                       {"id", id},
                       {"request", arrival.request},
                       {"manager", "m" + std::to_string(arrival.manager + 1)},
@@ -282,7 +293,7 @@
 
 void Clients::log_answer(const std::string& id, const Outcome& outcome, std::uint64_t rows) {
   write_log({{"t", shared_clock()},
-             {"what", "answer"},
+             {"what", std::string(log_event::answer_received)},
              {"id", id},
              {"kind", std::string(name_of(outcome.kind))},
              {"rows", rows},
--- a/simulation/scenario/client.hpp
+++ b/simulation/scenario/client.hpp
@@ -22,7 +22,7 @@
 
 /// How an attempt ended, as its client saw it.
 enum class OutcomeKind : std::uint8_t {
-  none,  ///< a complete answer that says nothing of it
+  none,  ///< a complete answer without CommandComplete or an error
   served,
   rejected,
   failed,
--- a/simulation/scenario/day_files.cpp
+++ b/simulation/scenario/day_files.cpp
@@ -6,7 +6,11 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "trace_checker/log_words.hpp"
+
 namespace paddlestand::simulation {
+namespace listed_state = trace_checker::listed_state;
+
 namespace {
 
 std::string time_text(Duration duration) { return std::to_string(duration.count() / 1000) + "us"; }
@@ -78,7 +82,8 @@
 std::string manager_name(std::uint32_t index) { return "m" + std::to_string(index + 1); }
 
 std::string_view name_of(ListedState state) {
-  static constexpr std::array<std::string_view, 3> names{"ready", "draining", "gone"};
+  static constexpr std::array<std::string_view, 3> names{listed_state::ready, listed_state::draining,
+                                                         listed_state::removed};
   return names[static_cast<std::size_t>(state)];
 }
 
--- a/simulation/scenario/day_files.hpp
+++ b/simulation/scenario/day_files.hpp
@@ -22,7 +22,7 @@
 struct ListedEngine {
   std::uint16_t port = 0;  ///< zero: not known yet, and not listed
   ListedState state = ListedState::ready;
-  double started = 0;  ///< seconds since 1970; zero: not told
+  double started = 0;  ///< seconds since 1970; zero: unknown, and not listed
 };
 
 /// schema/manager.xsd. `port`: to listen on; zero: any.
--- a/simulation/scenario/fault_schedule.cpp
+++ b/simulation/scenario/fault_schedule.cpp
@@ -15,11 +15,14 @@
 #include <string_view>
 #include <utility>
 
+#include "trace_checker/log_words.hpp"
+
 namespace paddlestand::simulation {
 namespace asio = boost::asio;
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 using namespace std::chrono_literals;
+namespace log_event = trace_checker::log_event;
 
 namespace {
 
@@ -29,11 +32,11 @@
 constexpr auto poll_period = 10ms;
 
 /// The command of a test engine that causes a fault, by the fault's kind; empty: it is not caused by one.
-/// Where the command takes a number, it is the fault's amount.
+/// Where the command has a number, it is the fault's amount.
 std::string command_for(const DayFault& fault) {
   struct CommandOfKind {
     std::string_view command;
-    bool takes_amount;
+    bool has_amount;
   };
   static const std::map<std::string_view, CommandOfKind> commands{
       {"vanish", {"vanish", false}},   {"hang", {"hang", false}},
@@ -46,7 +49,7 @@
   if (found == commands.end()) return {};
   std::ostringstream text;
   text << found->second.command;
-  if (found->second.takes_amount) text << " " << fault.amount;
+  if (found->second.has_amount) text << " " << fault.amount;
   return text.str();
 }
 
@@ -70,7 +73,7 @@
 /// here.
 FaultSchedule::awaitable<> FaultSchedule::inject(DayFault fault) {
   co_await sleep(fault.at);
-  system_.log_event({{"what", "trouble"}, {"kind", fault.kind}});
+  system_.log_event({{"what", std::string(log_event::fault_injected)}, {"kind", fault.kind}});
   const std::string& kind = fault.kind;
   if (std::string command = command_for(fault); !command.empty()) {
     co_await inject_by_command(fault, std::move(command));
@@ -183,12 +186,13 @@
          waited += poll_period)
       co_await sleep(poll_period);
     if (system_.is_manager_running(manager))
-      problems_.push_back(manager_name(manager) + " did not leave when asked to");
+      problems_.push_back(manager_name(manager) + " did not shut down in time");
     system_.kill_manager(manager);
-    system_.log_event({{"what", "manager_down"}, {"manager", manager_name(manager)}});
+    system_.log_event(
+        {{"what", std::string(log_event::manager_shut_down)}, {"manager", manager_name(manager)}});
   } else {
     // The trace checker excuses unanswered requests only of a manager that was killed.
-    system_.log_event({{"what", "manager_killed"}, {"manager", manager_name(manager)}});
+    system_.log_event({{"what", std::string(log_event::manager_killed)}, {"manager", manager_name(manager)}});
     system_.kill_manager(manager);
   }
   co_await sleep(downtime);
--- a/simulation/scenario/fault_schedule.hpp
+++ b/simulation/scenario/fault_schedule.hpp
@@ -1,4 +1,4 @@
-/// Carries out the faults of a day at their times.
+/// Injects the faults of a day at their times.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -11,7 +11,8 @@
 
 namespace paddlestand::simulation {
 
-/// Belongs to the event loop's thread. Exceptions of its coroutines leave io_context::run().
+/// Faults overlap where their times do. Belongs to the event loop's thread. Exceptions of its coroutines
+/// leave io_context::run().
 class FaultSchedule {
  public:
   /// Refers to all of its arguments.
--- a/simulation/scenario/runner.hpp
+++ b/simulation/scenario/runner.hpp
@@ -20,7 +20,8 @@
 
 struct DayResult {
   trace_checker::Verdict verdict;
-  std::vector<std::string> problems;  ///< of the run itself: a process that ended by itself, a broken log
+  std::vector<std::string>
+      problems;  ///< of the run itself: a process that ended unexpectedly, a malformed log
   std::string table;  ///< outcomes by class
 };
 
--- a/simulation/scenario/scenario.cpp
+++ b/simulation/scenario/scenario.cpp
@@ -124,7 +124,7 @@
                            "a trouble names the unknown class '" + fault.class_name + "'"};
     }
     if (fault.at >= day.length)
-      return config::Fault{path, element.line(), "a trouble begins behind the day's end"};
+      return config::Fault{path, element.line(), "a trouble begins after the day's end"};
   }
   return std::nullopt;
 }
--- a/simulation/scenario/system_under_test.cpp
+++ b/simulation/scenario/system_under_test.cpp
@@ -9,6 +9,7 @@
 #include <thread>
 
 #include "runner.hpp"
+#include "trace_checker/log_words.hpp"
 
 namespace paddlestand::simulation {
 namespace {
@@ -145,7 +146,7 @@
 void SystemUnderTest::kill_engine(std::uint32_t index) {
   engines_[index].may_be_down = true;
   engines_[index].process.kill();
-  log_event({{"what", "died"}, {"engine", engine_name(index)}});
+  log_event({{"what", std::string(trace_checker::log_event::engine_exited)}, {"engine", engine_name(index)}});
 }
 
 // ---- Discovery ----
@@ -166,7 +167,7 @@
   for (std::uint32_t index = 0; index < day_.engines; ++index) {
     if (published_[index] == listed_[index].state) continue;
     published_[index] = listed_[index].state;
-    log_event({{"what", "listed"},
+    log_event({{"what", std::string(trace_checker::log_event::engine_listed)},
                {"engine", engine_name(index)},
                {"state", std::string(name_of(published_[index]))}});
   }
@@ -205,7 +206,7 @@
   for (std::uint32_t index = 0; index < day_.managers; ++index) {
     Manager& manager = managers_[index];
     if (!manager.process.is_running() && !manager.may_be_down)
-      problems.push_back(manager_name(index) + " ended by itself, see " + manager_file(index, "err"));
+      problems.push_back(manager_name(index) + " ended unexpectedly, see " + manager_file(index, "err"));
     manager.process.request_shutdown();
   }
   const auto is_any_running = [this] {
@@ -220,7 +221,7 @@
 void SystemUnderTest::stop_engines(std::vector<std::string>& problems) {
   for (Engine& engine : engines_) {
     if (!engine.process.is_running() && !engine.may_be_down)
-      problems.emplace_back("an engine's process ended by itself");
+      problems.emplace_back("an engine's process ended unexpectedly");
     engine.process.kill();
   }
 }
--- a/simulation/scenario/system_under_test.hpp
+++ b/simulation/scenario/system_under_test.hpp
@@ -39,7 +39,7 @@
 
   // Engines.
   void kill_engine(std::uint32_t index);
-  /// Starts it again, cold, on its previous ports, and waits until it listens.
+  /// Starts it again, with a slow start, on its previous ports, and waits until it listens.
   void restart_engine(std::uint32_t index);
   /// Changes an engine's state and publishes the list.
   void list_as(std::uint32_t index, ListedState state);
@@ -61,7 +61,7 @@
   /// Adds a line to events.jsonl, which the trace checker reads.
   void log_event(const nlohmann::json& event);
 
-  /// Ends all processes. Adds those that had ended by themselves to `problems`.
+  /// Ends all processes. Adds those that had ended unexpectedly to `problems`.
   void stop(std::vector<std::string>& problems);
 
  private:
--- a/test_engine/engine_context.cpp
+++ b/test_engine/engine_context.cpp
@@ -5,10 +5,10 @@
 namespace paddlestand::test_engine {
 namespace {
 
-/// A warm engine counts as having run for longer than its slow start takes.
+/// Without a slow start, the engine counts as having run for longer than that lasts. On the shared clock.
 double start_time_s(const TestEngineSettings& settings) {
   const double now_s = shared_clock_s();
-  return settings.cold ? now_s : now_s - settings.shape.slow_start_duration - 1;
+  return settings.begins_slow_start ? now_s : now_s - settings.shape.slow_start_duration - 1;
 }
 
 }  // namespace
--- a/test_engine/main.cpp
+++ b/test_engine/main.cpp
@@ -14,6 +14,7 @@
 
 using namespace paddlestand;
 
+/// What the command line sets.
 struct Options {
   test_engine::TestEngineSettings settings;
   std::string port_file;
@@ -31,7 +32,7 @@
                  "Append what becomes of each query to this file (JSON lines)");
   app.add_option("--cores", shape.cores);
   app.add_option("--memory-mb", shape.memory_mb);
-  app.add_option("--speed", shape.speed, "Of a core; 10: all work takes a tenth of its time");
+  app.add_option("--speed", shape.speed, "Of a core; 10: all work needs a tenth of its time");
   app.add_option("--most-jobs", shape.max_jobs);
   app.add_option("--memory-shortage", options.memory_shortage)
       ->check(CLI::IsMember({"wait", "spill", "page"}));
@@ -39,9 +40,9 @@
   app.add_option("--cold-time", shape.slow_start_duration, "Seconds");
   app.add_option("--fall-multiple", shape.overload_multiple);
   app.add_option("--fall-window", shape.overload_window, "Seconds");
-  app.add_option("--note-period", settings.note_period_s, "Seconds between notes of progress; 0: none");
+  app.add_option("--note-period", settings.progress_period_s, "Seconds between progress reports; 0: none");
   app.add_option("--seed", settings.seed);
-  app.add_flag("--cold", settings.cold, "Begin cold");
+  app.add_flag("--cold", settings.begins_slow_start, "Begin with a slow start");
 }
 
 simulation::MemoryShort memory_short_of(const std::string& text) {
@@ -71,7 +72,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"A stand-in for an analytic engine, for tests and trials on loopback"};
+  CLI::App app{"A test engine: simulates an analytic engine, for tests and trials on loopback"};
   Options options;
   add_options(app, options);
   CLI11_PARSE(app, argc, argv);
--- a/test_engine/server.cpp
+++ b/test_engine/server.cpp
@@ -47,8 +47,9 @@
   listen_on(control_acceptor_, settings_.address, settings_.control_port);
   control_port_ = control_acceptor_.local_endpoint().port();
   asio::co_spawn(engine_->io, accept_control(), asio::detached);
-  if (settings_.note_period_s > 0) asio::co_spawn(engine_->io, send_progress_periodically(), asio::detached);
-  engine_->log.write("up", "", {{"cold", settings_.cold}});
+  if (settings_.progress_period_s > 0)
+    asio::co_spawn(engine_->io, send_progress_periodically(), asio::detached);
+  engine_->log.write(log_event::engine_started, "", {{"cold", settings_.begins_slow_start}});
 }
 
 void Server::listen() {
@@ -80,7 +81,7 @@
 }
 
 asio::awaitable<void> Server::send_progress_periodically() {
-  const std::chrono::nanoseconds period(static_cast<std::int64_t>(settings_.note_period_s * 1e9));
+  const std::chrono::nanoseconds period(static_cast<std::int64_t>(settings_.progress_period_s * 1e9));
   asio::steady_timer timer(engine_->io);
   for (;;) {
     timer.expires_after(period);
--- a/test_engine/server.hpp
+++ b/test_engine/server.hpp
@@ -59,7 +59,7 @@
   void delay_load_reports(double period_ms);
   void stop_listening();
   void abort_sessions();
-  void restart_cold();
+  void restart();
   [[noreturn]] void die();
 
   TestEngineSettings settings_;
--- a/test_engine/server_commands.cpp
+++ b/test_engine/server_commands.cpp
@@ -37,7 +37,7 @@
       Command{"flush", [](Server& server, double) { server.clear_table_cache(); }},
       Command{"reset", [](Server& server, double) { server.abort_sessions(); }},
       Command{"refuse", [](Server& server, double) { server.stop_listening(); }},
-      Command{"cold", [](Server& server, double) { server.restart_cold(); }},
+      Command{"cold", [](Server& server, double) { server.restart(); }},
       Command{"die", [](Server& server, double) { server.die(); }}};
   return all;
 }
@@ -47,7 +47,7 @@
   std::string word;
   double value = 0;
   in >> word >> value;
-  engine_->log.write("trouble", "", {{"command", line}});
+  engine_->log.write(log_event::fault_injected, "", {{"command", line}});
   const auto found = std::find_if(commands().begin(), commands().end(),
                                   [&word](const Command& command) { return command.word == word; });
   if (found == commands().end()) return unknown_command_text();
@@ -98,14 +98,14 @@
   for (const auto& session : engine_->live_sessions()) session->abort();
 }
 
-void Server::restart_cold() {
+void Server::restart() {
   abort_sessions();
   engine_->jobs.model().restart(shared_clock_s());
-  engine_->log.write("up", "", {{"cold", true}});
+  engine_->log.write(log_event::engine_started, "", {{"cold", true}});
 }
 
 void Server::die() {
-  engine_->log.write("died", "");
+  engine_->log.write(log_event::engine_exited, "");
   std::_Exit(0);
 }
 
--- a/test_engine/session.cpp
+++ b/test_engine/session.cpp
@@ -37,7 +37,7 @@
   const auto self = shared_from_this();
   std::vector<char> buffer(read_buffer_bytes);
   for (;;) {
-    if (!take_frames()) co_return;
+    if (!read_frames()) co_return;
     if (is_started_ && !has_query_) process_messages();
     if (is_closed_) co_return;
     if (!output_.empty() && !co_await flush()) co_return;
@@ -55,7 +55,7 @@
 // ---- From the server ----
 
 void Session::cancel() {
-  if (has_query_) engine_->log.write("cancelled", profile_.id);
+  if (has_query_) engine_->log.write(log_event::query_cancelled, profile_.id);
   if (job_ == 0) return;
   engine_->jobs.cancel(job_);
   job_ = 0;
@@ -101,7 +101,7 @@
 }
 
 void Session::abort() {
-  if (has_query_) engine_->log.write("link_closed", profile_.id);
+  if (has_query_) engine_->log.write(log_event::connection_closed, profile_.id);
   error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   socket_.close(ignored);
@@ -112,7 +112,7 @@
 // ---- Messages ----
 
 /// Whether the connection goes on.
-bool Session::take_frames() {
+bool Session::read_frames() {
   while (const auto frame = frames_.next(is_started_)) {
     if (is_started_) {
       messages_.emplace_back(frame->type, std::string(frame->body));
@@ -148,7 +148,7 @@
 }
 
 void Session::reject_session() {
-  auto fields = pg::error("57P03", "the engine drains");
+  auto fields = pg::error("57P03", "the engine is draining");
   fields.severity = "FATAL";
   pg::put_error(output_, fields);
   is_closed_ = true;
@@ -228,7 +228,7 @@
 }
 
 void Session::on_closed() {
-  if (has_query_) engine_->log.write("link_closed", profile_.id);
+  if (has_query_) engine_->log.write(log_event::connection_closed, profile_.id);
   if (job_ != 0) {
     engine_->jobs.cancel(job_);
     job_ = 0;
--- a/test_engine/session.hpp
+++ b/test_engine/session.hpp
@@ -35,7 +35,7 @@
   /// Cancels the running query, if any.
   void cancel();
   void on_job_end(const simulation::JobEnd& end) override;
-  /// Sends a notice of how the running query gets on, if there is one.
+  /// Sends a notice with the progress of the running query, if any.
   void send_progress();
   /// Replaces the priority and the memory grant of the running query, if any.
   void set_terms(std::uint8_t priority, double memory_mb);
@@ -50,7 +50,7 @@
   enum class QueryProtocol : std::uint8_t { simple, extended };
 
   // Connection (session.cpp).
-  bool take_frames();
+  bool read_frames();
   bool on_startup(std::string_view body);
   void accept_session();
   void reject_session();
--- a/test_engine/session_query.cpp
+++ b/test_engine/session_query.cpp
@@ -29,7 +29,8 @@
 
 // ---- Settings ----
 
-/// Executes SET, RESET, a change of terms, and the empty query of a probe. False for any other statement.
+/// Executes SET, RESET, a change of terms, and the empty query of a health check. False for any other
+/// statement.
 bool Session::execute_setting(const std::string& text) {
   const auto scanned = sql::scan(text);
   if (scanned.statements.empty()) {
@@ -76,17 +77,17 @@
 void Session::begin_query(const std::string& text, QueryProtocol protocol) {
   protocol_ = protocol;
   profile_ = read_profile(text);
-  engine_->log.write("received", profile_.id,
+  engine_->log.write(log_event::query_received, profile_.id,
                      {{"manager", manager_},
                       {"link", key_.process},
                       {"class", profile_.tag("class")},
                       {"key", profile_.tag("key")}});
   if (profile_.tags.contains("sim_error")) {
-    fail(profile_.tag("sim_error"), "as the query asked");
+    fail(profile_.tag("sim_error"), "requested by the query");
   } else if (engine_->faults.overloaded) {
     reject_overloaded();
   } else if (engine_->happens(engine_->faults.failure_share)) {
-    engine_->log.write("failed", profile_.id);
+    engine_->log.write(log_event::query_failed, profile_.id);
     fail("XX000", "the engine fails fast");
   } else {
     start_job();
@@ -102,11 +103,11 @@
     case simulation::Admission::accepted: break;
     case simulation::Admission::overloaded: reject_overloaded(); return;
     case simulation::Admission::crashed:
-      engine_->log.write("fell", profile_.id);
-      fail("57P02", "the engine fell over");
+      engine_->log.write(log_event::engine_crashed, profile_.id);
+      fail("57P02", "the engine crashed");
       return;
   }
-  engine_->log.write("started", profile_.id);
+  engine_->log.write(log_event::query_started, profile_.id);
   job_ = job.id;
   has_query_ = true;
   asio::co_spawn(
@@ -114,8 +115,8 @@
 }
 
 void Session::reject_overloaded() {
-  engine_->log.write("full", profile_.id);
-  fail("53300", "the engine is full");
+  engine_->log.write(log_event::query_rejected, profile_.id);
+  fail("53300", "the engine is overloaded");
 }
 
 void Session::fail(const std::string& code, const std::string& message) {
@@ -135,7 +136,7 @@
     is_cancelled_ = false;
     fail("57014", "canceling statement due to user request");
   } else {
-    // Where the answer is withheld, the session stays open and says nothing more.
+    // Where the answer is withheld, the session stays open and sends nothing more.
     if (!co_await send_answer()) co_return;
   }
   has_query_ = false;
@@ -159,9 +160,9 @@
 asio::awaitable<bool> Session::send_answer() {
   const simulation::JobEnd end = *job_end_;
   job_end_.reset();
-  engine_->log.write("applied", profile_.id);
+  engine_->log.write(log_event::query_applied, profile_.id);
   if (engine_->happens(engine_->faults.lost_answer_share)) {
-    engine_->log.write("answer_lost", profile_.id);
+    engine_->log.write(log_event::answer_lost, profile_.id);
     co_return false;
   }
   if (engine_->faults.mute_before_answer) co_return false;
@@ -175,7 +176,7 @@
     co_return false;
   }
   if (protocol_ == QueryProtocol::simple) put_ready();
-  engine_->log.write("ended", profile_.id);
+  engine_->log.write(log_event::query_answered, profile_.id);
   co_return true;
 }
 
@@ -187,7 +188,7 @@
     pg::put_row(output_, {&cell, 1});
     if (stops_halfway && i >= profile_.rows / 2) {
       co_await flush();
-      engine_->log.write("muted", profile_.id);
+      engine_->log.write(log_event::answer_truncated, profile_.id);
       co_return false;
     }
     const bool is_buffer_full = output_.size() >= flush_threshold_bytes;
--- a/test_engine/settings.hpp
+++ b/test_engine/settings.hpp
@@ -8,6 +8,7 @@
 
 namespace paddlestand::test_engine {
 
+/// Times in seconds.
 struct TestEngineSettings {
   std::string name = "engine";
   std::string address = "127.0.0.1";
@@ -16,9 +17,9 @@
   simulation::EngineShape shape;
   std::string truth_log;  ///< a file to append to; empty: none
   double report_period_s = 0;  ///< the greatest age of a load report; zero: always current
-  double note_period_s = 0;  ///< between progress reports of a running query; zero: none
+  double progress_period_s = 0;  ///< between progress reports of a running query; zero: none
   std::uint64_t seed = 1;
-  bool cold = false;  ///< starts cold; otherwise as if it had run for long
+  bool begins_slow_start = false;  ///< otherwise as if its slow start had ended long ago
 };
 
 }  // namespace paddlestand::test_engine
--- a/test_engine/truth_log.cpp
+++ b/test_engine/truth_log.cpp
@@ -17,11 +17,13 @@
   if (!path.empty()) file_.reset(std::fopen(path.c_str(), "a"));
 }
 
-void TruthLog::write(const char* event, const std::string& id) { write(event, id, nlohmann::json::object()); }
+void TruthLog::write(std::string_view event, const std::string& id) {
+  write(event, id, nlohmann::json::object());
+}
 
-void TruthLog::write(const char* event, const std::string& id, const nlohmann::json& more) {
+void TruthLog::write(std::string_view event, const std::string& id, const nlohmann::json& more) {
   if (file_ == nullptr) return;
-  nlohmann::json line{{"t", shared_clock()}, {"engine", engine_}, {"what", event}, {"id", id}};
+  nlohmann::json line{{"t", shared_clock()}, {"engine", engine_}, {"what", std::string(event)}, {"id", id}};
   line.update(more);
   const std::string text = line.dump() + "\n";
   std::fwrite(text.data(), 1, text.size(), file_.get());
--- a/test_engine/truth_log.hpp
+++ b/test_engine/truth_log.hpp
@@ -6,23 +6,30 @@
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
 #include <string>
+#include <string_view>
+
+#include "trace_checker/log_words.hpp"
 
 namespace paddlestand::test_engine {
 
+namespace log_event = trace_checker::log_event;
+
 /// The clock of all logs on one machine: monotonic, in nanoseconds.
 std::int64_t shared_clock();
 /// The same in seconds.
 double shared_clock_s();
 
+/// Belongs to one thread.
 class TruthLog {
  public:
   /// Appends to `path`; an empty path, or one that can't be opened, writes nothing.
   TruthLog(std::string engine, const std::string& path);
 
-  /// `event` is the line's "what"; `id` the query's sim_id, or empty. Flushes each line, so that it survives
+  /// `event` is one of log_event; `id` the query's sim_id, or empty. Flushes each line, so that it survives
   /// a killed process.
-  void write(const char* event, const std::string& id);
-  void write(const char* event, const std::string& id, const nlohmann::json& more);
+  void write(std::string_view event, const std::string& id);
+  /// Adds the members of `more`, an object, to the line.
+  void write(std::string_view event, const std::string& id, const nlohmann::json& more);
 
  private:
   struct CloseFile {
--- a/tests/trace_checker/trace_checker_test.cpp
+++ b/tests/trace_checker/trace_checker_test.cpp
@@ -119,37 +119,37 @@
   late.add_rejection(1900, "5.0");
   EXPECT_EQ(late.check_rules(), (Rules{{1, 1}}));
 
-  TestLog behind = correct_log();
-  behind.add(95, "extra", "1.0");
-  EXPECT_EQ(behind.check_rules(), (Rules{{1, 1}}));
+  TestLog surplus = correct_log();
+  surplus.add(95, "extra", "1.0");
+  EXPECT_EQ(surplus.check_rules(), (Rules{{1, 1}}));
 }
 
 TEST(TraceChecker, Rule2ReportsDuplicateResendAndRejectionAfterExecution) {
   TestLog twice = correct_log();
-  twice.add_run("1.0", "e2", 20, 95);  // while it was out at e1
+  twice.add_run("1.0", "e2", 20, 95);  // while it was in flight at e1
   EXPECT_EQ(twice.check_rules().count(2), 1U);
 
   TestLog resent = correct_log();
   resent.add_run("4.1", "e2", 660, 700);
   EXPECT_EQ(resent.check_rules().count(2), 1U);
 
-  TestLog refused = correct_log();
-  refused.add_request(800, "6.0", "settle");
-  refused.add_run("6.0", "e1", 810, 850, "cancelled");
-  refused.add_rejection(851, "6.0");
-  EXPECT_EQ(refused.check_rules(), (Rules{{2, 1}}));
-
-  TestLog forgotten = correct_log();
-  forgotten.parameters.budget_window_s = 0;
-  forgotten.add_request(1000, "7.0", "load", "z");
-  forgotten.add_run("7.0", "e1", 1010, 1020, "link_closed");
-  forgotten.add_run("7.0", "e2", 3500, 3600);
-  forgotten.add_answer(1900, "7.0", "failed");
-  EXPECT_EQ(forgotten.check_rules(), (Rules{{2, 1}}));
-
-  TestLog invented = correct_log();
-  invented.add_run("9.0", "e1", 800, 820);
-  EXPECT_EQ(invented.check_rules(), (Rules{{2, 1}}));
+  TestLog rejected = correct_log();
+  rejected.add_request(800, "6.0", "settle");
+  rejected.add_run("6.0", "e1", 810, 850, "cancelled");
+  rejected.add_rejection(851, "6.0");
+  EXPECT_EQ(rejected.check_rules(), (Rules{{2, 1}}));
+
+  TestLog expired = correct_log();
+  expired.parameters.budget_window_s = 0;
+  expired.add_request(1000, "7.0", "load", "z");
+  expired.add_run("7.0", "e1", 1010, 1020, "link_closed");
+  expired.add_run("7.0", "e2", 3500, 3600);
+  expired.add_answer(1900, "7.0", "failed");
+  EXPECT_EQ(expired.check_rules(), (Rules{{2, 1}}));
+
+  TestLog unknown = correct_log();
+  unknown.add_run("9.0", "e1", 800, 820);
+  EXPECT_EQ(unknown.check_rules(), (Rules{{2, 1}}));
 }
 
 TEST(TraceChecker, Rule3ReportsQuerySentAfterDrainGrace) {
@@ -167,7 +167,7 @@
   EXPECT_EQ(log.check_rules(), Rules{});
 }
 
-TEST(TraceChecker, Rule4ReportsCrashOfColdEngine) {
+TEST(TraceChecker, Rule4ReportsCrashDuringSlowStart) {
   TestLog log = correct_log();
   log.add_request(800, "5.0", "lookup");
   log.add(810, "received", "5.0").engine = "e1";
@@ -177,14 +177,14 @@
 }
 
 TEST(TraceChecker, Rule5ReportsConcurrentAndReorderedQueriesOfOneKey) {
-  TestLog at_once = correct_log();
-  at_once.add_request(800, "5.0", "load", "y");
-  at_once.add_request(900, "6.0", "load", "y");
-  at_once.add_run("5.0", "e1", 810, 1200);
-  at_once.add_run("6.0", "e2", 910, 1000);
-  at_once.add_answer(1201, "5.0", "served");
-  at_once.add_answer(1001, "6.0", "served");
-  EXPECT_EQ(at_once.check_rules(), (Rules{{5, 1}}));
+  TestLog concurrent = correct_log();
+  concurrent.add_request(800, "5.0", "load", "y");
+  concurrent.add_request(900, "6.0", "load", "y");
+  concurrent.add_run("5.0", "e1", 810, 1200);
+  concurrent.add_run("6.0", "e2", 910, 1000);
+  concurrent.add_answer(1201, "5.0", "served");
+  concurrent.add_answer(1001, "6.0", "served");
+  EXPECT_EQ(concurrent.check_rules(), (Rules{{5, 1}}));
 
   TestLog overtook = correct_log();
   overtook.add_request(800, "5.0", "load", "y");
@@ -205,8 +205,7 @@
 }
 
 TEST(TraceChecker, Rule7ReportsExceededRetryBudget) {
-  TestLog log =
-      correct_log();  // one further attempt so far, of a budget of one and a tenth of what was asked
+  TestLog log = correct_log();  // one retry so far, of a budget of one and a tenth of the requests
   for (int i = 10; i < 14; ++i) {
     const std::string id = std::to_string(i) + ".0";
     log.add_request(1000 + i, id, "lookup");
--- a/trace_checker/logs.cpp
+++ b/trace_checker/logs.cpp
@@ -1,4 +1,4 @@
-// Reads the logs of a day.
+// Reads the logs of a day (log_words.hpp).
 #include <algorithm>
 #include <filesystem>
 #include <fstream>
@@ -11,6 +11,7 @@
 namespace paddlestand::trace_checker {
 namespace {
 
+/// Maps the keys of a log's line to the members of a record. Empty where the line is not an event.
 std::optional<Record> parse_record(const std::string& line) {
   const auto json = nlohmann::json::parse(line, nullptr, false);
   if (!json.is_object() || !json.contains("t") || !json.contains("what")) return std::nullopt;
@@ -53,7 +54,7 @@
         records.push_back(std::move(*record));
       } else {
         problems.push_back(path.string() + ":" + std::to_string(number) +
-                           ": wanted: an object with t and what");
+                           ": not a JSON object with t and what");
       }
     }
   }
--- a/trace_checker/report.cpp
+++ b/trace_checker/report.cpp
@@ -1,4 +1,4 @@
-// Verdicts as text and as JSON.
+// Verdicts as text and as JSON. The keys of the JSON are a file format and differ from the code's terms.
 #include <nlohmann/json.hpp>
 #include <sstream>
 
@@ -8,12 +8,12 @@
 
 std::string summary(const Verdict& verdict) {
   std::ostringstream out;
-  out << verdict.requests << " requests, " << verdict.client_attempts << " tries, " << verdict.engine_attempts
-      << " attempts; ";
+  out << verdict.requests << " requests, " << verdict.client_attempts << " client attempts, "
+      << verdict.engine_attempts << " engine attempts; ";
   if (verdict.by_rule.empty()) {
-    out << "no breach of any rule";
+    out << "no rule violated";
   } else {
-    out << "BREACHES:";
+    out << "VIOLATIONS:";
     for (const auto& [rule, count] : verdict.by_rule) out << " rule " << rule << " x " << count;
   }
   return out.str();
--- a/trace_checker/trace.cpp
+++ b/trace_checker/trace.cpp
@@ -5,14 +5,18 @@
 #include <string_view>
 #include <utility>
 
+#include "log_words.hpp"
+
 namespace paddlestand::trace_checker {
 namespace {
 
 bool ends_run(std::string_view what) {
-  return what == "ended" || what == "cancelled" || what == "link_closed" || what == "failed" ||
-         what == "full" || what == "fell";
+  return what == log_event::query_answered || what == log_event::query_cancelled ||
+         what == log_event::connection_closed || what == log_event::query_failed ||
+         what == log_event::query_rejected || what == log_event::engine_crashed;
 }
 
+/// Puts the records together in order of time. Used once.
 class TraceBuilder {
  public:
   explicit TraceBuilder(std::vector<Record> records) {
@@ -31,34 +35,35 @@
 
  private:
   void add_event(const Record& record) {
-    if (record.what == "listed") trace_.listings[record.engine].push_back(&record);
-    if (record.what == "manager_killed") trace_.killed[record.manager].push_back(record.t);
-    if (record.what == "manager_down") trace_.shut_down[record.manager].push_back(record.t);
-    if (record.what == "died" || record.what == "up") end_all_runs(record.engine, record.t);
+    if (record.what == log_event::engine_listed) trace_.listings[record.engine].push_back(&record);
+    if (record.what == log_event::manager_killed) trace_.killed[record.manager].push_back(record.t);
+    if (record.what == log_event::manager_shut_down) trace_.shut_down[record.manager].push_back(record.t);
+    if (record.what == log_event::engine_exited || record.what == log_event::engine_started)
+      end_all_runs(record.engine, record.t);
   }
 
   void add_to_attempt(const Record& record, ClientAttempt& attempt) {
     attempt.history.push_back(&record);
-    if (record.what == "asked") {
+    if (record.what == log_event::request_sent) {
       attempt.request = record;
       trace_.attempts_of_request[record.request].push_back(record.id);
-    } else if (record.what == "answer") {
+    } else if (record.what == log_event::answer_received) {
       attempt.answer = record;
       ++attempt.answers;
       ++trace_.answers[attempt.request.class_name][record.kind];
-    } else if (record.what == "extra") {
+    } else if (record.what == log_event::surplus_message) {
       ++attempt.surplus_messages;
-    } else if (record.what == "received") {
+    } else if (record.what == log_event::query_received) {
       begin_run(record, attempt);
-    } else if (record.what == "started" || record.what == "applied") {
+    } else if (record.what == log_event::query_started || record.what == log_event::query_applied) {
       if (EngineRun* run = find_run(record.id, record.engine)) {
         run->was_started = true;
-        run->was_applied = run->was_applied || record.what == "applied";
+        run->was_applied = run->was_applied || record.what == log_event::query_applied;
       }
     } else if (ends_run(record.what)) {
       end_run(record.id, record.engine, record.t);
       running_[record.engine].erase(record.id);
-      if (record.what == "fell") trace_.crashes.push_back(&record);
+      if (record.what == log_event::engine_crashed) trace_.crashes.push_back(&record);
     }
   }
 
--- a/trace_checker/trace.hpp
+++ b/trace_checker/trace.hpp
@@ -12,6 +12,7 @@
 
 namespace paddlestand::trace_checker {
 
+/// The time of what has not happened by the end of the logs.
 inline constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
 
 /// What an engine did with a client's attempt that a manager sent to it. Times as in Record::t.
@@ -35,8 +36,10 @@
   [[nodiscard]] bool was_sent() const { return !request.what.empty(); }
 };
 
+/// By manager: times as in Record::t.
 using TimesByManager = std::map<std::string, std::vector<std::int64_t>>;
 
+/// All records of a day, and views of them. Moving it leaves the views valid; copying would not.
 struct Trace {
   std::vector<Record> records;  ///< in order of time
   std::map<std::string, ClientAttempt> attempts;  ///< by id
@@ -52,7 +55,7 @@
   [[nodiscard]] std::int64_t start() const { return records.empty() ? 0 : records.front().t; }
 };
 
-/// `records` may be in any order. Trace refers to its own records: it may be moved, not copied.
+/// `records` may be in any order.
 [[nodiscard]] Trace build_trace(std::vector<Record> records);
 
 }  // namespace paddlestand::trace_checker
--- a/trace_checker/trace_checker.cpp
+++ b/trace_checker/trace_checker.cpp
@@ -6,6 +6,7 @@
 #include <sstream>
 #include <utility>
 
+#include "log_words.hpp"
 #include "trace.hpp"
 
 namespace paddlestand::trace_checker {
@@ -13,12 +14,14 @@
 
 constexpr std::size_t max_reported = 20;  // violations of one rule that are reported with their history
 constexpr double manager_end_tolerance_s = 0.5;
+constexpr double budget_rounding_tolerance = 1e-9;  // of floating-point sums, in retries
 
+/// The rules, by the numbers that verdicts give.
 enum Rule : std::uint8_t {
   one_final_answer = 1,
   no_repeated_effect = 2,
   drain = 3,
-  cold_start = 4,
+  slow_start = 4,
   order_of_keys = 5,
   placement = 6,
   retry_budget = 7
@@ -26,6 +29,11 @@
 
 std::int64_t nanoseconds(double seconds) { return std::llround(seconds * 1e9); }
 
+/// Whether an answer that was logged is none: the connection ended without one, or the client gave up.
+bool is_missing(const Record& answer) {
+  return answer.kind == answer_kind::lost || answer.kind == answer_kind::unanswered;
+}
+
 /// Whether the manager ended between the two times, or shortly before or after.
 bool has_ended_near(const TimesByManager& times, const std::string& manager, std::int64_t from,
                     std::int64_t to) {
@@ -39,11 +47,12 @@
 /// When the engine is listed as ready again after the listing at `index`; `never` where it is not.
 std::int64_t time_of_return(const std::vector<const Record*>& listings, std::size_t index) {
   for (std::size_t later = index + 1; later < listings.size(); ++later) {
-    if (listings[later]->state == "ready") return listings[later]->t;
+    if (listings[later]->state == listed_state::ready) return listings[later]->t;
   }
   return never;
 }
 
+/// Checks the rules one by one. Used once; `parameters` must outlive it.
 class Checker {
  public:
   Checker(const DayParameters& parameters, std::vector<Record> records)
@@ -62,7 +71,7 @@
     check_effects_of_requests();
     check_unknown_attempts();
     check_drains();
-    check_cold_starts();
+    check_slow_starts();
     check_order_of_keys();
     check_retry_budgets();
     verdict_.requests = trace_.attempts_of_request.size();
@@ -108,14 +117,14 @@
     const std::int64_t deadline =
         attempt.request.t + nanoseconds(attempt.request.client_timeout_ms / 1000 + parameters_.slack_s);
     if (attempt.surplus_messages > 0)
-      report(one_final_answer, id + ": something came behind its final answer", &attempt);
+      report(one_final_answer, id + ": a message after its final answer", &attempt);
     if (attempt.answers > 1)
       report(one_final_answer, id + ": " + std::to_string(attempt.answers) + " final answers", &attempt);
-    if (!attempt.answer || attempt.answer->kind == "lost" || attempt.answer->kind == "unanswered") {
+    if (!attempt.answer || is_missing(*attempt.answer)) {
       if (!is_excused(attempt, deadline)) report(one_final_answer, id + ": no final answer", &attempt);
       return;
     }
-    if (attempt.answer->kind == "gone" || attempt.answer->t <= deadline) return;
+    if (attempt.answer->kind == answer_kind::disconnected || attempt.answer->t <= deadline) return;
     std::ostringstream text;
     text << id << ": answered " << static_cast<double>(attempt.answer->t - deadline) * 1e-6 << " ms too late";
     report(one_final_answer, text.str(), &attempt);
@@ -139,25 +148,25 @@
       const EngineRun& run = attempt.runs[i];
       const EngineRun& next = attempt.runs[i + 1];
       if (run.ended == never || run.ended > next.received + skew_)
-        report(no_repeated_effect, id + ": two attempts out at once", &attempt);
+        report(no_repeated_effect, id + ": two attempts in flight at once", &attempt);
       if (parameters.idempotent || !run.was_started) continue;
       if (!parameters.idempotent_with_key)
-        report(no_repeated_effect, id + ": unsafe, sent again though it had begun to run", &attempt);
+        report(no_repeated_effect, id + ": not idempotent, retried after it had started", &attempt);
       const std::int64_t key_expiry = attempt.runs[0].received + nanoseconds(parameters.idempotency_window_s);
       if (parameters.idempotent_with_key && next.received > key_expiry)
-        report(no_repeated_effect, id + ": sent again after engines forgot its key", &attempt);
+        report(no_repeated_effect, id + ": retried after its idempotency window", &attempt);
     }
   }
 
-  // A client repeats what it is told to be safe to repeat.
+  // A client retries what its answer says to be safe to retry.
   void check_rejection(const std::string& id, const ClientAttempt& attempt) {
     if (is_idempotent(class_of(attempt)) || !attempt.answer) return;
     const Record& answer = *attempt.answer;
     const bool has_run = std::any_of(attempt.runs.begin(), attempt.runs.end(),
                                      [](const EngineRun& run) { return run.was_started; });
-    const bool invites_retry = answer.kind == "refused" || answer.is_retry_safe;
-    if (has_run && invites_retry && answer.kind != "served")
-      report(no_repeated_effect, id + ": unsafe, told to be harmless to repeat though it had begun to run",
+    const bool invites_retry = answer.kind == answer_kind::rejected || answer.is_retry_safe;
+    if (has_run && invites_retry && answer.kind != answer_kind::served)
+      report(no_repeated_effect, id + ": not idempotent, reported as safe to retry after it had started",
              &attempt);
   }
 
@@ -169,7 +178,8 @@
       }
       if (applied <= 1 || is_idempotent(class_of(trace_.attempts.at(ids.front())))) continue;
       report(no_repeated_effect,
-             "request " + std::to_string(request) + ": unsafe, applied " + std::to_string(applied) + " times",
+             "request " + std::to_string(request) + ": not idempotent, applied " + std::to_string(applied) +
+                 " times",
              &trace_.attempts.at(ids.back()));
     }
   }
@@ -177,7 +187,7 @@
   void check_unknown_attempts() {
     for (const auto& [id, attempt] : trace_.attempts) {
       if (!attempt.was_sent() && !attempt.runs.empty())
-        report(no_repeated_effect, id + ": ran, and no client asked for it", &attempt);
+        report(no_repeated_effect, id + ": executed, but sent by no client", &attempt);
     }
   }
 
@@ -190,7 +200,7 @@
       const auto zone = parameters_.engine_zones.find(run.engine);
       const bool is_allowed = zone != parameters_.engine_zones.end() &&
                               std::find(zones.begin(), zones.end(), zone->second) != zones.end();
-      if (!is_allowed) report(placement, id + ": sent to " + run.engine + ", out of its places", &attempt);
+      if (!is_allowed) report(placement, id + ": sent to " + run.engine + ", outside its zones", &attempt);
     }
   }
 
@@ -199,8 +209,8 @@
   void check_drains() {
     for (const auto& [engine, listings] : trace_.listings) {
       for (std::size_t i = 0; i < listings.size(); ++i) {
-        const bool was_ready = i == 0 || listings[i - 1]->state == "ready";
-        if (listings[i]->state != "ready" && was_ready)
+        const bool was_ready = i == 0 || listings[i - 1]->state == listed_state::ready;
+        if (listings[i]->state != listed_state::ready && was_ready)
           check_drain(engine, listings[i]->t, time_of_return(listings, i));
       }
     }
@@ -212,7 +222,7 @@
     for (const auto& [id, attempt] : trace_.attempts) {
       for (const EngineRun& run : attempt.runs) {
         if (run.engine == engine && run.received > grace_end && run.received < end)
-          report(drain, id + ": sent to " + engine + " after its drain's grace", &attempt);
+          report(drain, id + ": sent to " + engine + " after its drain grace period", &attempt);
       }
     }
   }
@@ -220,11 +230,11 @@
   // ---- Rule 4 ----
 
   // Once for each engine: what follows a crash is its consequence.
-  void check_cold_starts() {
+  void check_slow_starts() {
     std::set<std::string> reported;
     for (const Record* crash : trace_.crashes) {
       if (reported.insert(crash->engine).second)
-        report(cold_start, crash->engine + " fell over while cold", &trace_.attempts.at(crash->id));
+        report(slow_start, crash->engine + " crashed during its slow start", &trace_.attempts.at(crash->id));
     }
   }
 
@@ -263,7 +273,7 @@
     for (const EngineRun& run : earlier.runs) {
       for (const EngineRun& other : later.runs) {
         if (overlap(run, other))
-          report(order_of_keys, first.first + " and " + second.first + " of key " + key + " ran at once",
+          report(order_of_keys, first.first + " and " + second.first + " of key " + key + " ran concurrently",
                  &later);
       }
     }
@@ -294,7 +304,7 @@
     }
   }
 
-  /// Both lists are sorted. Reports the first excess alone.
+  /// Times of one manager, both lists sorted. Reports the first excess alone.
   void check_retry_budget(const std::string& manager, const std::vector<std::int64_t>& retries,
                           const std::vector<std::int64_t>& requests) {
     for (std::size_t i = 0; i < retries.size(); ++i) {
@@ -305,10 +315,11 @@
       const auto last_request = std::upper_bound(requests.begin(), requests.end(), window_end + skew_);
       const auto retry_count = static_cast<std::ptrdiff_t>(i) + 1 - (first_retry - retries.begin());
       const auto request_count = last_request - first_request;
-      const double budget =
-          parameters_.budget_floor + parameters_.budget_share * static_cast<double>(request_count) + 1e-9;
+      const double budget = parameters_.budget_floor +
+                            parameters_.budget_share * static_cast<double>(request_count) +
+                            budget_rounding_tolerance;
       if (static_cast<double>(retry_count) <= budget) continue;
-      report(retry_budget, manager + ": " + std::to_string(retry_count) + " further attempts for " +
+      report(retry_budget, manager + ": " + std::to_string(retry_count) + " retries for " +
                                std::to_string(request_count) + " requests in its window");
       return;
     }
--- a/trace_checker/trace_checker.hpp
+++ b/trace_checker/trace_checker.hpp
@@ -13,19 +13,20 @@
 /// One line of a log. Which members are set depends on `what`.
 struct Record {
   std::int64_t t = 0;  ///< nanoseconds, of one clock for all logs
-  std::string what;  ///< the event
+  std::string what;  ///< the event, as in log_event (log_words.hpp)
   std::string id;  ///< of a client's attempt
   std::string class_name;
   std::string key;
   std::string manager;
   std::string engine;
-  std::string kind;  ///< of an answer
-  std::string state;  ///< of an engine in the list
-  std::int64_t request = 0;
+  std::string kind;  ///< of an answer, as in answer_kind
+  std::string state;  ///< of an engine in the list, as in listed_state
+  std::int64_t request = 0;  ///< the number of the request that the attempt belongs to; zero: none
   double client_timeout_ms = 0;
   bool is_retry_safe = false;  ///< as the answer said
 };
 
+/// What the rules depend on, of one class of requests.
 struct ClassParameters {
   bool idempotent = false;
   bool idempotent_with_key = false;  ///< neither: not idempotent
@@ -47,12 +48,15 @@
   double budget_window_s = 0;  ///< zero: there is no retry budget
 };
 
+/// One violation, with what is needed to understand it.
 struct RuleViolation {
   int rule = 0;  ///< 1 to 7
-  std::string what;
-  std::vector<std::string> history;  ///< of the attempt
+  std::string what;  ///< one line for a reader
+  std::vector<std::string>
+      history;  ///< of the attempt, one event a line; empty: the rule concerns no attempt
 };
 
+/// The result of a check: what was violated, and how much was looked at.
 struct Verdict {
   std::vector<RuleViolation> violations;  ///< the first ones of each rule
   std::map<int, std::size_t> by_rule;  ///< how many of each rule; empty: none
@@ -66,7 +70,7 @@
 [[nodiscard]] Verdict check(const DayParameters& parameters, std::vector<Record> records);
 
 /// Reads all *.jsonl files of a folder. Lines that can't be read are reported in `problems` by file and
-/// number, and left out.
+/// number, and skipped.
 [[nodiscard]] std::vector<Record> read_logs(const std::string& folder, std::vector<std::string>& problems);
 
 /// One line for the console.
