--- a/simulation/scenario/child_process.hpp
+++ b/simulation/scenario/child_process.hpp
@@ -1,9 +1,8 @@
 /// A child process that ends with its object.
 #pragma once
 
-#include <signal.h>
-
 #include <boost/process.hpp>
+#include <csignal>
 #include <string>
 #include <system_error>
 #include <utility>
@@ -11,6 +10,7 @@
 
 namespace paddlestand::simulation {
 
+/// Owns a child process, or none. Belongs to one thread.
 class ChildProcess {
  public:
   ChildProcess() = default;
@@ -20,14 +20,15 @@
                const std::string& error_file = "/dev/null")
       : child_(start(program, arguments, error_file)) {}
   ChildProcess(ChildProcess&&) = default;
-  ChildProcess& operator=(ChildProcess&& other) {
+  /// Kills the process that this object owned so far.
+  ChildProcess& operator=(ChildProcess&& other) noexcept {
     kill();
     child_ = std::move(other.child_);
     return *this;
   }
   ~ChildProcess() { kill(); }
 
-  /// Kills it and waits for its end; nothing where it has ended.
+  /// Kills it and waits for its end; does nothing where it has ended.
   void kill() {
     std::error_code ignored;
     if (child_.valid() && child_.running(ignored)) child_.terminate(ignored);
--- a/simulation/scenario/fault_schedule.cpp
+++ b/simulation/scenario/fault_schedule.cpp
@@ -99,19 +99,25 @@
 FaultSchedule::awaitable<> FaultSchedule::inject_by_command(DayFault fault, std::string command) {
   const bool concerns_all = fault.kind == "shared_slow";
   const std::vector<std::uint32_t> engines = next_engines(concerns_all ? day_.engines : fault.count);
-  for (const std::uint32_t engine : engines) co_await send_command(engine, command);
+  co_await send_command_to_all(engines, std::move(command));
   co_await sleep(fault.length);
-  for (const std::uint32_t engine : engines) co_await send_command(engine, "normal");
+  co_await send_command_to_all(engines, "normal");
+}
+
+FaultSchedule::awaitable<> FaultSchedule::send_command_to_all(std::vector<std::uint32_t> engines,
+                                                              std::string command) {
+  for (const std::uint32_t engine : engines) { co_await send_command(engine, command); }
 }
 
 FaultSchedule::awaitable<> FaultSchedule::restart_engines_in_turn(std::vector<std::uint32_t> engines,
                                                                   Duration downtime) {
-  for (const std::uint32_t engine : engines) co_await drain_engine(engine, downtime, AfterDrain::restart);
+  for (const std::uint32_t engine : engines) { co_await drain_engine(engine, downtime, AfterDrain::restart); }
 }
 
 FaultSchedule::awaitable<> FaultSchedule::restart_managers_in_turn(Duration downtime) {
-  for (std::uint32_t manager = 0; manager < day_.managers; ++manager)
+  for (std::uint32_t manager = 0; manager < day_.managers; ++manager) {
     co_await restart_manager(manager, downtime, Shutdown::graceful);
+  }
 }
 
 FaultSchedule::awaitable<> FaultSchedule::stop_discovery(Duration length) {
@@ -181,13 +187,7 @@
                                                           Shutdown shutdown) {
   system_.expect_manager_down(manager);
   if (shutdown == Shutdown::graceful) {
-    system_.request_manager_shutdown(manager);
-    for (auto waited = 0ms; waited < manager_shutdown_timeout && system_.is_manager_running(manager);
-         waited += poll_period)
-      co_await sleep(poll_period);
-    if (system_.is_manager_running(manager))
-      problems_.push_back(manager_name(manager) + " did not shut down in time");
-    system_.kill_manager(manager);
+    co_await shut_down_manager(manager);
     system_.log_event(
         {{"what", std::string(log_event::manager_shut_down)}, {"manager", manager_name(manager)}});
   } else {
@@ -199,4 +199,16 @@
   system_.start_manager(manager);
 }
 
+/// Asks for a graceful shutdown, and kills the manager where it has not ended within the timeout.
+FaultSchedule::awaitable<> FaultSchedule::shut_down_manager(std::uint32_t manager) {
+  system_.request_manager_shutdown(manager);
+  for (auto waited = 0ms; waited < manager_shutdown_timeout && system_.is_manager_running(manager);
+       waited += poll_period) {
+    co_await sleep(poll_period);
+  }
+  if (system_.is_manager_running(manager))
+    problems_.push_back(manager_name(manager) + " did not shut down in time");
+  system_.kill_manager(manager);
+}
+
 }  // namespace paddlestand::simulation
--- a/simulation/scenario/fault_schedule.hpp
+++ b/simulation/scenario/fault_schedule.hpp
@@ -36,9 +36,11 @@
 
   awaitable<> sleep(Duration duration);
   awaitable<> send_command(std::uint32_t engine, std::string line);
+  awaitable<> send_command_to_all(std::vector<std::uint32_t> engines, std::string command);
   awaitable<> crash_engine(std::uint32_t engine, Duration downtime);
   awaitable<> drain_engine(std::uint32_t engine, Duration length, AfterDrain after);
   awaitable<> restart_manager(std::uint32_t manager, Duration downtime, Shutdown shutdown);
+  awaitable<> shut_down_manager(std::uint32_t manager);
   std::vector<std::uint32_t> next_engines(std::uint32_t count);
   void spawn(awaitable<> coroutine);
 
--- a/simulation/scenario/runner.cpp
+++ b/simulation/scenario/runner.cpp
@@ -66,9 +66,10 @@
       timer.expires_after(20ms);
       co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    if (clients.open_requests() > 0)
+    if (clients.open_requests() > 0) {
       problems_.push_back(std::to_string(clients.open_requests()) +
                           " requests were still open when the run ended");
+    }
     io_.stop();
   }
 
--- a/test_engine/main.cpp
+++ b/test_engine/main.cpp
@@ -1,9 +1,8 @@
 /// The test engine as a program.
-#include <signal.h>
-
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
+#include <csignal>
 #include <cstdio>
 #include <fstream>
 #include <iostream>
--- a/test_engine/session.cpp
+++ b/test_engine/session.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t max_message_bytes = 64U << 20U;
-constexpr std::size_t read_buffer_bytes = 16 * 1024;
+constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
 
 }  // namespace
 
@@ -191,7 +191,10 @@
 void Session::process_message(char type, const std::string& body) {
   switch (type) {
     case 'X': is_closed_ = true; break;
-    case 'Q': on_simple_query(body.c_str()); break;
+    case 'Q':
+      // NOLINTNEXTLINE(readability-redundant-string-cstr): the statement ends at the message's NUL
+      on_simple_query(body.c_str());
+      break;
     case 'P':
       if (const auto message = pg::parse_parse(body)) {
         statement_ = std::string(message->query);
--- a/test_engine/session_query.cpp
+++ b/test_engine/session_query.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::size_t flush_threshold_bytes = 256 * 1024;
+constexpr std::size_t flush_threshold_bytes = std::size_t{256} * 1024;
 
 /// select paddlestand.set_terms(PROCESS, PRIORITY, MEMORY_MB)
 bool is_set_terms(const std::vector<std::string>& words) {
@@ -141,7 +141,7 @@
   }
   has_query_ = false;
   process_messages();
-  if (!output_.empty()) co_await flush();
+  if (!output_.empty()) { co_await flush(); }
   if (engine_->faults.half_close) {
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
--- a/trace_checker/trace_checker.cpp
+++ b/trace_checker/trace_checker.cpp
@@ -165,17 +165,20 @@
     const bool has_run = std::any_of(attempt.runs.begin(), attempt.runs.end(),
                                      [](const EngineRun& run) { return run.was_started; });
     const bool invites_retry = answer.kind == answer_kind::rejected || answer.is_retry_safe;
-    if (has_run && invites_retry && answer.kind != answer_kind::served)
-      report(no_repeated_effect, id + ": not idempotent, reported as safe to retry after it had started",
-             &attempt);
+    if (!has_run || !invites_retry || answer.kind == answer_kind::served) return;
+    report(no_repeated_effect, id + ": not idempotent, reported as safe to retry after it had started",
+           &attempt);
+  }
+
+  [[nodiscard]] static std::size_t applied_runs(const ClientAttempt& attempt) {
+    return static_cast<std::size_t>(std::count_if(attempt.runs.begin(), attempt.runs.end(),
+                                                  [](const EngineRun& run) { return run.was_applied; }));
   }
 
   void check_effects_of_requests() {
     for (const auto& [request, ids] : trace_.attempts_of_request) {
       std::size_t applied = 0;
-      for (const std::string& id : ids) {
-        for (const EngineRun& run : trace_.attempts.at(id).runs) applied += run.was_applied ? 1 : 0;
-      }
+      for (const std::string& id : ids) applied += applied_runs(trace_.attempts.at(id));
       if (applied <= 1 || is_idempotent(class_of(trace_.attempts.at(ids.front())))) continue;
       report(no_repeated_effect,
              "request " + std::to_string(request) + ": not idempotent, applied " + std::to_string(applied) +
@@ -222,11 +225,15 @@
     for (const auto& [id, attempt] : trace_.attempts) {
       for (const EngineRun& run : attempt.runs) {
         if (run.engine == engine && run.received > grace_end && run.received < end)
-          report(drain, id + ": sent to " + engine + " after its drain grace period", &attempt);
+          report_late_send(id, engine, attempt);
       }
     }
   }
 
+  void report_late_send(const std::string& id, const std::string& engine, const ClientAttempt& attempt) {
+    report(drain, id + ": sent to " + engine + " after its drain grace period", &attempt);
+  }
+
   // ---- Rule 4 ----
 
   // Once for each engine: what follows a crash is its consequence.
@@ -270,13 +277,8 @@
     // A manager that is started again does not know what its predecessor has sent.
     if (has_ended_near(trace_.killed, later.request.manager, earlier.request.t, later_received)) return;
     const std::string& key = later.request.key;
-    for (const EngineRun& run : earlier.runs) {
-      for (const EngineRun& other : later.runs) {
-        if (overlap(run, other))
-          report(order_of_keys, first.first + " and " + second.first + " of key " + key + " ran concurrently",
-                 &later);
-      }
-    }
+    for (std::size_t count = overlaps(earlier, later); count > 0; --count)
+      report_concurrent_runs(first, second);
     const bool is_clearly_first = earlier.request.t + skew_ < later.request.t;
     const bool is_still_open = !earlier.answer || earlier.answer->t > later_received + skew_;
     const bool is_overtaken = earlier.runs.empty() || earlier.runs[0].received > later_received;
@@ -284,6 +286,22 @@
       report(order_of_keys, second.first + " of key " + key + " overtook " + first.first, &later);
   }
 
+  void report_concurrent_runs(const OrderedAttempt& first, const OrderedAttempt& second) {
+    const std::string& key = second.second->request.key;
+    report(order_of_keys, first.first + " and " + second.first + " of key " + key + " ran concurrently",
+           second.second);
+  }
+
+  /// How many runs of one attempt overlap with a run of the other.
+  [[nodiscard]] std::size_t overlaps(const ClientAttempt& earlier, const ClientAttempt& later) const {
+    std::size_t count = 0;
+    for (const EngineRun& run : earlier.runs) {
+      count += static_cast<std::size_t>(std::count_if(
+          later.runs.begin(), later.runs.end(), [&](const EngineRun& other) { return overlap(run, other); }));
+    }
+    return count;
+  }
+
   [[nodiscard]] bool overlap(const EngineRun& run, const EngineRun& other) const {
     if (run.received < other.received) return run.ended > other.received + skew_;
     return other.ended > run.received + skew_;
