--- a/simulation/scenario/client.cpp
+++ b/simulation/scenario/client.cpp
@@ -26,6 +26,11 @@
 
 /// A client waits for so long beyond its timeout, to see whether and when an answer comes.
 constexpr auto observation_time = std::chrono::seconds(3);
+/// SQLSTATE codes of a manager's answers (docs/operators/answers.md).
+constexpr std::string_view sqlstate_rejected = "53400";
+constexpr std::string_view sqlstate_shutting_down = "57P01";
+constexpr std::string_view sqlstate_cancelled = "57014";  // by the client, or as its time was up
+constexpr std::string_view fatal_severity = "FATAL";
 /// Of the numeric tags of a statement.
 constexpr std::size_t max_tags_bytes = 640;
 
@@ -40,11 +45,11 @@
   return timers;
 }
 
-/// SQLSTATE codes of a manager's answers (docs/operators/answers.md).
 OutcomeKind outcome_of_error(const pg::Fields& fields, bool is_retry_safe) {
-  if (fields.code == "53400") return OutcomeKind::rejected;
-  if (fields.code == "57P01") return is_retry_safe ? OutcomeKind::rejected : OutcomeKind::failed;
-  if (fields.code == "57014")
+  if (fields.code == sqlstate_rejected) return OutcomeKind::rejected;
+  if (fields.code == sqlstate_shutting_down)
+    return is_retry_safe ? OutcomeKind::rejected : OutcomeKind::failed;
+  if (fields.code == sqlstate_cancelled)
     return fields.message.starts_with("canceling") ? OutcomeKind::cancelled : OutcomeKind::late;
   return OutcomeKind::failed;
 }
@@ -105,7 +110,7 @@
   outcome.is_retry_safe = advice.harmless.value_or(false);
   outcome.retry_after = advice.retry_after;
   outcome.kind = outcome_of_error(*fields, outcome.is_retry_safe);
-  is_fatal = fields->severity == "FATAL";
+  is_fatal = fields->severity == fatal_severity;
 }
 
 Clients::Clients(asio::io_context& io, const Day& day, std::vector<std::uint16_t> ports, std::FILE* log)
@@ -212,7 +217,7 @@
 void Clients::on_frame_after_answer(const std::string& id, Connection& connection, char type,
                                     std::string_view body) {
   const auto fields = type == 'E' ? pg::parse_fields(body) : std::nullopt;
-  if (fields && fields->severity == "FATAL") {
+  if (fields && fields->severity == fatal_severity) {
     connection.close();
     return;
   }
--- a/simulation/scenario/client.hpp
+++ b/simulation/scenario/client.hpp
@@ -1,5 +1,5 @@
-/// The clients of a day: they send requests, wait, cancel, disconnect, retry, and log just what they saw on
-/// the wire.
+/// The clients of a day: they send requests, wait, cancel, disconnect and retry, and log only what they
+/// sent and received.
 #pragma once
 
 #include <array>
@@ -69,12 +69,15 @@
   using awaitable = boost::asio::awaitable<T>;
   struct Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
+  /// How an attempt ended, and what its answer advised.
   struct Outcome {
     OutcomeKind kind = OutcomeKind::none;
     bool is_retry_safe = false;
     std::optional<Duration> retry_after;
   };
+  /// What was received for one query.
   struct Answer;
+  /// What the client's own timer did to its connection.
   struct Interruption;
 
   awaitable<> run_request(Arrival arrival);
--- a/simulation/scenario/fault_schedule.cpp
+++ b/simulation/scenario/fault_schedule.cpp
@@ -11,6 +11,7 @@
 #include <chrono>
 #include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <sstream>
 #include <string_view>
 #include <utility>
@@ -30,10 +31,11 @@
 constexpr int drain_graces_before_restart = 4;
 constexpr auto manager_shutdown_timeout = 5s;
 constexpr auto poll_period = 10ms;
+constexpr std::size_t max_command_answer_bytes = 256;
 
-/// The command of a test engine that causes a fault, by the fault's kind; empty: it is not caused by one.
+/// The command of a test engine that causes a fault, by the fault's kind. Absent where no command does.
 /// Where the command has a number, it is the fault's amount.
-std::string command_for(const DayFault& fault) {
+std::optional<std::string> command_for(const DayFault& fault) {
   struct CommandOfKind {
     std::string_view command;
     bool has_amount;
@@ -46,7 +48,7 @@
       {"shared_slow", {"slow", true}}, {"fast_errors", {"fail", true}},
       {"answer_lost", {"lose", true}}, {"report_late", {"report-late", true}}};
   const auto found = commands.find(fault.kind);
-  if (found == commands.end()) return {};
+  if (found == commands.end()) return std::nullopt;
   std::ostringstream text;
   text << found->second.command;
   if (found->second.has_amount) text << " " << fault.amount;
@@ -75,8 +77,8 @@
   co_await sleep(fault.at);
   system_.log_event({{"what", std::string(log_event::fault_injected)}, {"kind", fault.kind}});
   const std::string& kind = fault.kind;
-  if (std::string command = command_for(fault); !command.empty()) {
-    co_await inject_by_command(fault, std::move(command));
+  if (auto command = command_for(fault)) {
+    co_await inject_by_command(fault, *std::move(command));
   } else if (kind == "crash" || kind == "mass_restart") {
     for (const std::uint32_t engine : next_engines(kind == "crash" ? fault.count : day_.engines))
       spawn(crash_engine(engine, fault.length));
@@ -141,7 +143,7 @@
   line += "\n";
   co_await asio::async_write(socket, asio::buffer(line), asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
-  std::array<char, 256> answer{};
+  std::array<char, max_command_answer_bytes> answer{};
   const std::size_t received =
       co_await socket.async_read_some(asio::buffer(answer), asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
--- a/simulation/scenario/runner.cpp
+++ b/simulation/scenario/runner.cpp
@@ -24,9 +24,10 @@
 namespace {
 
 constexpr auto max_overtime = 40s;  // for requests that are open at the day's end
+constexpr auto open_requests_poll = 20ms;
 constexpr auto list_read_time = 300ms;  // within which all managers have read the list
 
-/// One day. Used once.
+/// Runs one day. Used once, on one thread; `plan` and `progress` must outlive it.
 class Runner {
  public:
   Runner(const DayPlan& plan, const std::function<void(const std::string&)>& progress)
@@ -63,7 +64,7 @@
     }
     const auto deadline = steady_clock::now() + max_overtime;
     while (clients.open_requests() > 0 && steady_clock::now() < deadline) {
-      timer.expires_after(20ms);
+      timer.expires_after(open_requests_poll);
       co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
     if (clients.open_requests() > 0) {
--- a/simulation/scenario/runner.hpp
+++ b/simulation/scenario/runner.hpp
@@ -11,13 +11,15 @@
 
 namespace paddlestand::simulation {
 
+/// What a run needs besides the day.
 struct DayPlan {
   Day day;
   std::string folder;  ///< for logs and configurations; it must exist
-  std::string manager_program;
-  std::string engine_program;
+  std::string manager_program;  ///< path of `paddlestand`
+  std::string engine_program;  ///< path of `paddlestand_test_engine`
 };
 
+/// What a run found.
 struct DayResult {
   trace_checker::Verdict verdict;
   std::vector<std::string>
--- a/simulation/scenario/scenario.hpp
+++ b/simulation/scenario/scenario.hpp
@@ -37,6 +37,7 @@
   std::vector<std::string> zones;  ///< empty: any
 };
 
+/// A tenant, with its quota at the managers.
 struct DayTenant {
   std::string name;
   double quota_per_s = 0;
@@ -54,6 +55,7 @@
   std::string tenant;
 };
 
+/// A day: engines, managers, clients, and the faults that are injected. Times are durations from its start.
 struct Day {
   std::string name;
   Duration length{};
@@ -102,6 +104,7 @@
   }
 };
 
+/// Reads and checks a day's file; the first fault found in it otherwise.
 [[nodiscard]] std::variant<Day, config::Fault> read_day(const std::string& path);
 
 /// One request of a client, before its first attempt.
--- a/simulation/scenario/system_under_test.cpp
+++ b/simulation/scenario/system_under_test.cpp
@@ -20,6 +20,7 @@
 constexpr auto start_timeout = 20s;  // for a process to say on which port it listens
 constexpr auto shutdown_timeout = 4s;
 constexpr auto poll_period = 10ms;
+constexpr auto port_file_poll_period = 5ms;
 
 std::string number_text(double value) {
   std::ostringstream out;
@@ -38,7 +39,7 @@
     long port = 0;
     std::ifstream file(path);
     if (file >> port && port > 0) return port;
-    std::this_thread::sleep_for(5ms);
+    std::this_thread::sleep_for(port_file_poll_period);
   }
   throw std::runtime_error("a process did not start: no " + path);
 }
--- a/simulation/scenario/system_under_test.hpp
+++ b/simulation/scenario/system_under_test.hpp
@@ -16,6 +16,7 @@
 
 struct DayPlan;
 
+/// Deleter of LogFile.
 struct CloseFile {
   void operator()(std::FILE* file) const { std::fclose(file); }
 };
@@ -24,7 +25,7 @@
 /// Creates a log in the day's folder. Throws std::runtime_error.
 LogFile open_log(const std::string& folder, const std::string& name);
 
-/// Belongs to one thread.
+/// Owns the processes of a day's engines and managers. Belongs to one thread.
 class SystemUnderTest {
  public:
   /// Refers to `plan`.
--- a/test_engine/faults.hpp
+++ b/test_engine/faults.hpp
@@ -3,6 +3,7 @@
 
 namespace paddlestand::test_engine {
 
+/// The faults that are in force. Shares are probabilities, from 0 to 1.
 struct InjectedFaults {
   bool hang = false;  ///< accepts queries, executes nothing and answers nothing
   bool vanish = false;  ///< as hang; new connections are accepted by the kernel alone
--- a/test_engine/job_executor.hpp
+++ b/test_engine/job_executor.hpp
@@ -22,6 +22,7 @@
   JobOwner& operator=(const JobOwner&) = default;
 };
 
+/// Holds no owner alive. Belongs to the event loop's thread.
 class JobExecutor {
  public:
   /// `started_s`: when the engine started, on the shared clock.
@@ -34,6 +35,7 @@
   void cancel(simulation::JobId job);
   /// The job goes on, and nobody is notified of its end.
   void detach(simulation::JobId job);
+  /// Replaces a running job's priority and memory grant.
   void set_terms(simulation::JobId job, std::uint8_t priority, double memory_mb);
 
   /// The model, to be changed by faults; update() must follow.
--- a/test_engine/query_profile.cpp
+++ b/test_engine/query_profile.cpp
@@ -7,6 +7,13 @@
 
 namespace paddlestand::test_engine {
 
+namespace {
+
+constexpr double default_read_share = 0.3;
+constexpr double default_work_ms = 1;
+
+}  // namespace
+
 double parse_number(const std::string& text, double fallback) {
   double value = fallback;
   std::from_chars(text.data(), text.data() + text.size(), value);
@@ -28,10 +35,10 @@
     for (const auto& [name, value] : sql::read_tags(comment)) profile.tags[name] = value;
   }
   profile.id = profile.tag("sim_id");
-  profile.job.work = profile.number_tag("sim_work_ms", 1) / 1000;
+  profile.job.work = profile.number_tag("sim_work_ms", default_work_ms) / 1000;
   profile.job.threads = profile.number_tag("sim_threads", 1);
   profile.job.memory_mb = profile.number_tag("sim_memory_mb", 0);
-  profile.job.reads = profile.number_tag("sim_reads", 0.3);
+  profile.job.reads = profile.number_tag("sim_reads", default_read_share);
   profile.job.writes = profile.number_tag("sim_write", 0) > 0;
   profile.job.waits_for_writers = true;
   profile.job.tables = static_cast<std::uint64_t>(profile.number_tag("tables", 0));
--- a/test_engine/query_profile.hpp
+++ b/test_engine/query_profile.hpp
@@ -10,9 +10,10 @@
 
 namespace paddlestand::test_engine {
 
-/// Parses all of `text` that is a number; `fallback` where there is none.
+/// Parses the number at the start of `text`; `fallback` where there is none.
 double parse_number(const std::string& text, double fallback);
 
+/// A query's cost, from the tags of its statement. Sizes in bytes and MB as named.
 struct QueryProfile {
   std::string id;  ///< sim_id
   simulation::Job job;  ///< without its id and the session's terms
@@ -22,6 +23,7 @@
 
   /// The tag's value; empty where there is none.
   [[nodiscard]] std::string tag(const std::string& name) const;
+  /// The tag's value as a number; `fallback` where it is none.
   [[nodiscard]] double number_tag(const std::string& name, double fallback) const;
 };
 
--- a/test_engine/server.hpp
+++ b/test_engine/server.hpp
@@ -19,7 +19,7 @@
 
 struct EngineContext;
 
-/// Belongs to the event loop's thread.
+/// Listens for queries and for commands. Belongs to the event loop's thread.
 class Server {
  public:
   using tcp = boost::asio::ip::tcp;
--- a/test_engine/session.cpp
+++ b/test_engine/session.cpp
@@ -8,6 +8,7 @@
 
 #include "protocol/pg/bytes.hpp"
 #include "protocol/pg/sqlstate.hpp"
+#include "sqlstates.hpp"
 
 namespace paddlestand::test_engine {
 namespace asio = boost::asio;
@@ -75,7 +76,7 @@
   const simulation::EngineModel& model = engine_->jobs.model();
   pg::Fields fields;
   fields.severity = "NOTICE";
-  fields.code = "01P5T";
+  fields.code = sqlstate::progress_report;
   if (model.is_waiting(job_)) {
     fields.message = "waiting";
   } else if (model.is_spilling(job_)) {
@@ -148,7 +149,7 @@
 }
 
 void Session::reject_session() {
-  auto fields = pg::error("57P03", "the engine is draining");
+  auto fields = pg::error(sqlstate::cannot_connect_now, "the engine is draining");
   fields.severity = "FATAL";
   pg::put_error(output_, fields);
   is_closed_ = true;
--- a/test_engine/session_query.cpp
+++ b/test_engine/session_query.cpp
@@ -10,6 +10,7 @@
 #include "protocol/pg/sqlstate.hpp"
 #include "protocol/sql/scan.hpp"
 #include "session.hpp"
+#include "sqlstates.hpp"
 
 namespace paddlestand::test_engine {
 namespace asio = boost::asio;
@@ -88,7 +89,7 @@
     reject_overloaded();
   } else if (engine_->happens(engine_->faults.failure_share)) {
     engine_->log.write(log_event::query_failed, profile_.id);
-    fail("XX000", "the engine fails fast");
+    fail(sqlstate::internal_error, "the engine fails fast");
   } else {
     start_job();
   }
@@ -104,7 +105,7 @@
     case simulation::Admission::overloaded: reject_overloaded(); return;
     case simulation::Admission::crashed:
       engine_->log.write(log_event::engine_crashed, profile_.id);
-      fail("57P02", "the engine crashed");
+      fail(sqlstate::crash_shutdown, "the engine crashed");
       return;
   }
   engine_->log.write(log_event::query_started, profile_.id);
@@ -116,7 +117,7 @@
 
 void Session::reject_overloaded() {
   engine_->log.write(log_event::query_rejected, profile_.id);
-  fail("53300", "the engine is overloaded");
+  fail(sqlstate::too_many_connections, "the engine is overloaded");
 }
 
 void Session::fail(const std::string& code, const std::string& message) {
@@ -134,7 +135,7 @@
   if (is_closed_) co_return;
   if (is_cancelled_) {
     is_cancelled_ = false;
-    fail("57014", "canceling statement due to user request");
+    fail(sqlstate::query_canceled, "canceling statement due to user request");
   } else {
     // Where the answer is withheld, the session stays open and sends nothing more.
     if (!co_await send_answer()) co_return;
@@ -198,7 +199,8 @@
 }
 
 void Session::put_description() {
-  const pg::Column column{"value", 25, -1};
+  pg::Column column;  // of text, of variable size
+  column.name = "value";
   pg::put_row_description(output_, {&column, 1});
 }
 
--- a/test_engine/truth_log.hpp
+++ b/test_engine/truth_log.hpp
@@ -19,7 +19,7 @@
 /// The same in seconds.
 double shared_clock_s();
 
-/// Belongs to one thread.
+/// Owns the log's file. Belongs to one thread.
 class TruthLog {
  public:
   /// Appends to `path`; an empty path, or one that can't be opened, writes nothing.
