--- a/simulation/scenario/client.hpp
+++ b/simulation/scenario/client.hpp
@@ -1,5 +1,5 @@
-/// The clients of a day: they send requests, wait, cancel, disconnect, retry, and log just what they saw on
-/// the wire.
+/// The clients of a day: they send requests, wait, cancel, disconnect and retry, and log only what they
+/// sent and received.
 #pragma once
 
 #include <array>
@@ -22,7 +22,7 @@
 
 /// How an attempt ended, as its client saw it.
 enum class OutcomeKind : std::uint8_t {
-  none,  ///< a complete answer that says nothing of it
+  none,  ///< a complete answer without CommandComplete or an error
   served,
   rejected,
   failed,
@@ -34,25 +34,26 @@
   unreached,  ///< no connection could be opened: nothing was sent
   count
 };
-/// As in the log.
+/// The outcome's name in the log.
 [[nodiscard]] std::string_view name_of(OutcomeKind kind);
 
+/// What became of the attempts of one class.
 struct ClassResults {
   std::uint64_t attempts = 0;
   std::array<std::uint64_t, static_cast<std::size_t>(OutcomeKind::count)> by_outcome{};
-  std::vector<double> served_ms;
+  std::vector<double> served_ms;  ///< response times of the served attempts, in order of their ends
 
   [[nodiscard]] std::uint64_t count(OutcomeKind kind) const {
     return by_outcome[static_cast<std::size_t>(kind)];
   }
 };
 
-/// Belongs to the event loop's thread.
+/// All clients of a day, with their pools of connections. Belongs to the event loop's thread.
 class Clients {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  /// `ports`: of the managers, on loopback. `log` must outlive this object.
+  /// `ports`: of the managers, on loopback. `io`, `day` and `log` must outlive this object.
   Clients(boost::asio::io_context& io, const Day& day, std::vector<std::uint16_t> ports, std::FILE* log);
 
   /// Sends a request now, and retries it by itself. Returns at once.
@@ -68,12 +69,15 @@
   using awaitable = boost::asio::awaitable<T>;
   struct Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
+  /// How an attempt ended, and what its answer advised.
   struct Outcome {
     OutcomeKind kind = OutcomeKind::none;
     bool is_retry_safe = false;
     std::optional<Duration> retry_after;
   };
+  /// What was received for one query.
   struct Answer;
+  /// What the client's own timer did to its connection.
   struct Interruption;
 
   awaitable<> run_request(Arrival arrival);
@@ -84,16 +88,19 @@
   void schedule_interruption(const Arrival& arrival, const ConnectionPtr& connection,
                              boost::asio::steady_timer& timer,
                              const std::shared_ptr<Interruption>& interruption);
+  void schedule_cancel(Duration delay, const ConnectionPtr& connection, boost::asio::steady_timer& timer);
+  static Outcome outcome_of(const Answer& answer, const Interruption& interruption);
   void record(const Arrival& arrival, const Outcome& outcome, double elapsed_ms);
 
   awaitable<ConnectionPtr> acquire_connection(std::uint32_t manager);
-  ConnectionPtr take_idle_connection(std::uint32_t manager);
+  ConnectionPtr pop_idle_connection(std::uint32_t manager);
   awaitable<bool> open(Connection& connection);
   void release(const ConnectionPtr& connection);
   awaitable<> send_cancel(std::uint32_t manager, std::uint32_t process, std::uint32_t secret);
 
   [[nodiscard]] std::string statement_of(const Arrival& arrival, const std::string& id) const;
   void log_request(const Arrival& arrival, const std::string& id);
+  void log_answer(const std::string& id, const Outcome& outcome, std::uint64_t rows);
   void write_log(const nlohmann::json& line);
 
   boost::asio::io_context& io_;
--- a/simulation/scenario/fault_schedule.cpp
+++ b/simulation/scenario/fault_schedule.cpp
@@ -11,15 +11,19 @@
 #include <chrono>
 #include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <sstream>
 #include <string_view>
 #include <utility>
 
+#include "trace_checker/log_words.hpp"
+
 namespace paddlestand::simulation {
 namespace asio = boost::asio;
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 using namespace std::chrono_literals;
+namespace log_event = trace_checker::log_event;
 
 namespace {
 
@@ -27,13 +31,14 @@
 constexpr int drain_graces_before_restart = 4;
 constexpr auto manager_shutdown_timeout = 5s;
 constexpr auto poll_period = 10ms;
+constexpr std::size_t max_command_answer_bytes = 256;
 
-/// The command of a test engine that causes a fault, by the fault's kind; empty: it is not caused by one.
-/// Where the command takes a number, it is the fault's amount.
-std::string command_for(const DayFault& fault) {
+/// The command of a test engine that causes a fault, by the fault's kind. Absent where no command does.
+/// Where the command has a number, it is the fault's amount.
+std::optional<std::string> command_for(const DayFault& fault) {
   struct CommandOfKind {
     std::string_view command;
-    bool takes_amount;
+    bool has_amount;
   };
   static const std::map<std::string_view, CommandOfKind> commands{
       {"vanish", {"vanish", false}},   {"hang", {"hang", false}},
@@ -43,10 +48,10 @@
       {"shared_slow", {"slow", true}}, {"fast_errors", {"fail", true}},
       {"answer_lost", {"lose", true}}, {"report_late", {"report-late", true}}};
   const auto found = commands.find(fault.kind);
-  if (found == commands.end()) return {};
+  if (found == commands.end()) return std::nullopt;
   std::ostringstream text;
   text << found->second.command;
-  if (found->second.takes_amount) text << " " << fault.amount;
+  if (found->second.has_amount) text << " " << fault.amount;
   return text.str();
 }
 
@@ -70,10 +75,10 @@
 /// here.
 FaultSchedule::awaitable<> FaultSchedule::inject(DayFault fault) {
   co_await sleep(fault.at);
-  system_.log_event({{"what", "trouble"}, {"kind", fault.kind}});
+  system_.log_event({{"what", std::string(log_event::fault_injected)}, {"kind", fault.kind}});
   const std::string& kind = fault.kind;
-  if (std::string command = command_for(fault); !command.empty()) {
-    co_await inject_by_command(fault, std::move(command));
+  if (auto command = command_for(fault)) {
+    co_await inject_by_command(fault, *std::move(command));
   } else if (kind == "crash" || kind == "mass_restart") {
     for (const std::uint32_t engine : next_engines(kind == "crash" ? fault.count : day_.engines))
       spawn(crash_engine(engine, fault.length));
@@ -96,19 +101,25 @@
 FaultSchedule::awaitable<> FaultSchedule::inject_by_command(DayFault fault, std::string command) {
   const bool concerns_all = fault.kind == "shared_slow";
   const std::vector<std::uint32_t> engines = next_engines(concerns_all ? day_.engines : fault.count);
-  for (const std::uint32_t engine : engines) co_await send_command(engine, command);
+  co_await send_command_to_all(engines, std::move(command));
   co_await sleep(fault.length);
-  for (const std::uint32_t engine : engines) co_await send_command(engine, "normal");
+  co_await send_command_to_all(engines, "normal");
+}
+
+FaultSchedule::awaitable<> FaultSchedule::send_command_to_all(std::vector<std::uint32_t> engines,
+                                                              std::string command) {
+  for (const std::uint32_t engine : engines) { co_await send_command(engine, command); }
 }
 
 FaultSchedule::awaitable<> FaultSchedule::restart_engines_in_turn(std::vector<std::uint32_t> engines,
                                                                   Duration downtime) {
-  for (const std::uint32_t engine : engines) co_await drain_engine(engine, downtime, AfterDrain::restart);
+  for (const std::uint32_t engine : engines) { co_await drain_engine(engine, downtime, AfterDrain::restart); }
 }
 
 FaultSchedule::awaitable<> FaultSchedule::restart_managers_in_turn(Duration downtime) {
-  for (std::uint32_t manager = 0; manager < day_.managers; ++manager)
+  for (std::uint32_t manager = 0; manager < day_.managers; ++manager) {
     co_await restart_manager(manager, downtime, Shutdown::graceful);
+  }
 }
 
 FaultSchedule::awaitable<> FaultSchedule::stop_discovery(Duration length) {
@@ -132,7 +143,7 @@
   line += "\n";
   co_await asio::async_write(socket, asio::buffer(line), asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
-  std::array<char, 256> answer{};
+  std::array<char, max_command_answer_bytes> answer{};
   const std::size_t received =
       co_await socket.async_read_some(asio::buffer(answer), asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
@@ -178,21 +189,28 @@
                                                           Shutdown shutdown) {
   system_.expect_manager_down(manager);
   if (shutdown == Shutdown::graceful) {
-    system_.request_manager_shutdown(manager);
-    for (auto waited = 0ms; waited < manager_shutdown_timeout && system_.is_manager_running(manager);
-         waited += poll_period)
-      co_await sleep(poll_period);
-    if (system_.is_manager_running(manager))
-      problems_.push_back(manager_name(manager) + " did not leave when asked to");
-    system_.kill_manager(manager);
-    system_.log_event({{"what", "manager_down"}, {"manager", manager_name(manager)}});
+    co_await shut_down_manager(manager);
+    system_.log_event(
+        {{"what", std::string(log_event::manager_shut_down)}, {"manager", manager_name(manager)}});
   } else {
     // The trace checker excuses unanswered requests only of a manager that was killed.
-    system_.log_event({{"what", "manager_killed"}, {"manager", manager_name(manager)}});
+    system_.log_event({{"what", std::string(log_event::manager_killed)}, {"manager", manager_name(manager)}});
     system_.kill_manager(manager);
   }
   co_await sleep(downtime);
   system_.start_manager(manager);
 }
 
+/// Asks for a graceful shutdown, and kills the manager where it has not ended within the timeout.
+FaultSchedule::awaitable<> FaultSchedule::shut_down_manager(std::uint32_t manager) {
+  system_.request_manager_shutdown(manager);
+  for (auto waited = 0ms; waited < manager_shutdown_timeout && system_.is_manager_running(manager);
+       waited += poll_period) {
+    co_await sleep(poll_period);
+  }
+  if (system_.is_manager_running(manager))
+    problems_.push_back(manager_name(manager) + " did not shut down in time");
+  system_.kill_manager(manager);
+}
+
 }  // namespace paddlestand::simulation
--- a/simulation/scenario/system_under_test.cpp
+++ b/simulation/scenario/system_under_test.cpp
@@ -9,6 +9,7 @@
 #include <thread>
 
 #include "runner.hpp"
+#include "trace_checker/log_words.hpp"
 
 namespace paddlestand::simulation {
 namespace {
@@ -19,6 +20,7 @@
 constexpr auto start_timeout = 20s;  // for a process to say on which port it listens
 constexpr auto shutdown_timeout = 4s;
 constexpr auto poll_period = 10ms;
+constexpr auto port_file_poll_period = 5ms;
 
 std::string number_text(double value) {
   std::ostringstream out;
@@ -37,7 +39,7 @@
     long port = 0;
     std::ifstream file(path);
     if (file >> port && port > 0) return port;
-    std::this_thread::sleep_for(5ms);
+    std::this_thread::sleep_for(port_file_poll_period);
   }
   throw std::runtime_error("a process did not start: no " + path);
 }
@@ -145,7 +147,7 @@
 void SystemUnderTest::kill_engine(std::uint32_t index) {
   engines_[index].may_be_down = true;
   engines_[index].process.kill();
-  log_event({{"what", "died"}, {"engine", engine_name(index)}});
+  log_event({{"what", std::string(trace_checker::log_event::engine_exited)}, {"engine", engine_name(index)}});
 }
 
 // ---- Discovery ----
@@ -166,7 +168,7 @@
   for (std::uint32_t index = 0; index < day_.engines; ++index) {
     if (published_[index] == listed_[index].state) continue;
     published_[index] = listed_[index].state;
-    log_event({{"what", "listed"},
+    log_event({{"what", std::string(trace_checker::log_event::engine_listed)},
                {"engine", engine_name(index)},
                {"state", std::string(name_of(published_[index]))}});
   }
@@ -205,7 +207,7 @@
   for (std::uint32_t index = 0; index < day_.managers; ++index) {
     Manager& manager = managers_[index];
     if (!manager.process.is_running() && !manager.may_be_down)
-      problems.push_back(manager_name(index) + " ended by itself, see " + manager_file(index, "err"));
+      problems.push_back(manager_name(index) + " ended unexpectedly, see " + manager_file(index, "err"));
     manager.process.request_shutdown();
   }
   const auto is_any_running = [this] {
@@ -220,7 +222,7 @@
 void SystemUnderTest::stop_engines(std::vector<std::string>& problems) {
   for (Engine& engine : engines_) {
     if (!engine.process.is_running() && !engine.may_be_down)
-      problems.emplace_back("an engine's process ended by itself");
+      problems.emplace_back("an engine's process ended unexpectedly");
     engine.process.kill();
   }
 }
--- a/simulation/scenario/system_under_test.hpp
+++ b/simulation/scenario/system_under_test.hpp
@@ -16,6 +16,7 @@
 
 struct DayPlan;
 
+/// Deleter of LogFile.
 struct CloseFile {
   void operator()(std::FILE* file) const { std::fclose(file); }
 };
@@ -24,7 +25,7 @@
 /// Creates a log in the day's folder. Throws std::runtime_error.
 LogFile open_log(const std::string& folder, const std::string& name);
 
-/// Belongs to one thread.
+/// Owns the processes of a day's engines and managers. Belongs to one thread.
 class SystemUnderTest {
  public:
   /// Refers to `plan`.
@@ -39,7 +40,7 @@
 
   // Engines.
   void kill_engine(std::uint32_t index);
-  /// Starts it again, cold, on its previous ports, and waits until it listens.
+  /// Starts it again, with a slow start, on its previous ports, and waits until it listens.
   void restart_engine(std::uint32_t index);
   /// Changes an engine's state and publishes the list.
   void list_as(std::uint32_t index, ListedState state);
@@ -61,7 +62,7 @@
   /// Adds a line to events.jsonl, which the trace checker reads.
   void log_event(const nlohmann::json& event);
 
-  /// Ends all processes. Adds those that had ended by themselves to `problems`.
+  /// Ends all processes. Adds those that had ended unexpectedly to `problems`.
   void stop(std::vector<std::string>& problems);
 
  private:
--- a/src/protocol/discovery/events.cpp
+++ b/src/protocol/discovery/events.cpp
@@ -54,7 +54,7 @@
 
 std::uint8_t byte_at(std::string_view bytes, std::size_t at) { return static_cast<std::uint8_t>(bytes[at]); }
 
-/// A start time as the channel tells it, in milliseconds since 1970; what a Duration can't hold is cut off.
+/// A start time as the channel reports it, in milliseconds since 1970; what a Duration can't hold is cut off.
 Duration read_start(std::string_view record) {
   constexpr std::int64_t max_milliseconds =
       std::numeric_limits<std::int64_t>::max() / nanoseconds_per_millisecond;
--- a/src/protocol/discovery/events.hpp
+++ b/src/protocol/discovery/events.hpp
@@ -37,7 +37,7 @@
   std::vector<Record> records;
 };
 
-/// The channel is alive and has no news.
+/// The channel is alive and nothing has changed.
 struct Heartbeat {};
 
 /// The peer violates the protocol: nothing that follows on the connection can be trusted.
--- a/test_engine/session.cpp
+++ b/test_engine/session.cpp
@@ -8,6 +8,7 @@
 
 #include "protocol/pg/bytes.hpp"
 #include "protocol/pg/sqlstate.hpp"
+#include "sqlstates.hpp"
 
 namespace paddlestand::test_engine {
 namespace asio = boost::asio;
@@ -17,7 +18,7 @@
 namespace {
 
 constexpr std::size_t max_message_bytes = 64U << 20U;
-constexpr std::size_t read_buffer_bytes = 16 * 1024;
+constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
 
 }  // namespace
 
@@ -37,7 +38,7 @@
   const auto self = shared_from_this();
   std::vector<char> buffer(read_buffer_bytes);
   for (;;) {
-    if (!take_frames()) co_return;
+    if (!read_frames()) co_return;
     if (is_started_ && !has_query_) process_messages();
     if (is_closed_) co_return;
     if (!output_.empty() && !co_await flush()) co_return;
@@ -55,7 +56,7 @@
 // ---- From the server ----
 
 void Session::cancel() {
-  if (has_query_) engine_->log.write("cancelled", profile_.id);
+  if (has_query_) engine_->log.write(log_event::query_cancelled, profile_.id);
   if (job_ == 0) return;
   engine_->jobs.cancel(job_);
   job_ = 0;
@@ -75,7 +76,7 @@
   const simulation::EngineModel& model = engine_->jobs.model();
   pg::Fields fields;
   fields.severity = "NOTICE";
-  fields.code = "01P5T";
+  fields.code = sqlstate::progress_report;
   if (model.is_waiting(job_)) {
     fields.message = "waiting";
   } else if (model.is_spilling(job_)) {
@@ -101,7 +102,7 @@
 }
 
 void Session::abort() {
-  if (has_query_) engine_->log.write("link_closed", profile_.id);
+  if (has_query_) engine_->log.write(log_event::connection_closed, profile_.id);
   error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   socket_.close(ignored);
@@ -112,7 +113,7 @@
 // ---- Messages ----
 
 /// Whether the connection goes on.
-bool Session::take_frames() {
+bool Session::read_frames() {
   while (const auto frame = frames_.next(is_started_)) {
     if (is_started_) {
       messages_.emplace_back(frame->type, std::string(frame->body));
@@ -148,7 +149,7 @@
 }
 
 void Session::reject_session() {
-  auto fields = pg::error("57P03", "the engine drains");
+  auto fields = pg::error(sqlstate::cannot_connect_now, "the engine is draining");
   fields.severity = "FATAL";
   pg::put_error(output_, fields);
   is_closed_ = true;
@@ -191,7 +192,10 @@
 void Session::process_message(char type, const std::string& body) {
   switch (type) {
     case 'X': is_closed_ = true; break;
-    case 'Q': on_simple_query(body.c_str()); break;
+    case 'Q':
+      // NOLINTNEXTLINE(readability-redundant-string-cstr): the statement ends at the message's NUL
+      on_simple_query(body.c_str());
+      break;
     case 'P':
       if (const auto message = pg::parse_parse(body)) {
         statement_ = std::string(message->query);
@@ -228,7 +232,7 @@
 }
 
 void Session::on_closed() {
-  if (has_query_) engine_->log.write("link_closed", profile_.id);
+  if (has_query_) engine_->log.write(log_event::connection_closed, profile_.id);
   if (job_ != 0) {
     engine_->jobs.cancel(job_);
     job_ = 0;
