--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -5,7 +5,6 @@
 
 #include <array>
 #include <future>
-#include <nlohmann/json.hpp>
 #include <thread>
 
 #include "file_sink.hpp"
@@ -15,10 +14,6 @@
 
 constexpr std::size_t max_queued_lines = 8192;  // lines; about 2 MiB
 
-std::string quoted(std::string_view text) {
-  return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-}
-
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-6; }
 
 std::string_view outcome_of(const core::AttemptAccount& attempt) {
@@ -56,6 +51,28 @@
   }
 }
 
+void put_event_json(fmt::memory_buffer& line, LogEvent event, Log::Fields fields, std::string_view text) {
+  const auto out = std::back_inserter(line);
+  fmt::format_to(out, R"("event":"{}")", name_of(event));
+  for (const LogField& field : fields) {
+    fmt::format_to(out, ",");
+    append_json(line, field);
+  }
+  if (text.empty()) return;
+  fmt::format_to(out, R"(,"text":)");
+  append_json_text(line, text);
+}
+
+void put_event_text(fmt::memory_buffer& line, LogEvent event, Log::Fields fields, std::string_view text) {
+  const auto out = std::back_inserter(line);
+  fmt::format_to(out, "{}:", name_of(event));
+  for (const LogField& field : fields) {
+    fmt::format_to(out, " ");
+    append_console(line, field);
+  }
+  if (!text.empty()) fmt::format_to(out, " {}", text);
+}
+
 }  // namespace
 
 std::string_view name_of(core::AnswerKind kind) {
@@ -117,13 +134,15 @@
 
 std::size_t Log::lost() const { return pool_ ? pool_->overrun_counter() : 0; }
 
-void Log::write(spdlog::level::level_enum level, LogEvent event, std::string_view text) {
+void Log::write(spdlog::level::level_enum level, LogEvent event, Fields fields, std::string_view text) {
   if (!logger_->should_log(level)) return;
+  fmt::memory_buffer line;
   if (json_) {
-    logger_->log(level, R"("event":"{}","text":{})", name_of(event), quoted(text));
+    put_event_json(line, event, fields, text);
   } else {
-    logger_->log(level, "{}: {}", name_of(event), text);
+    put_event_text(line, event, fields, text);
   }
+  logger_->log(level, std::string_view(line.data(), line.size()));
 }
 
 void Log::answer(const core::Answer& answer, std::string_view class_name) {
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -7,6 +7,7 @@
 #include <spdlog/logger.h>
 
 #include <chrono>
+#include <initializer_list>
 #include <memory>
 #include <string>
 #include <string_view>
@@ -14,12 +15,15 @@
 #include "core/types.hpp"
 #include "log_config.hpp"
 #include "log_events.hpp"
+#include "log_fields.hpp"
 
 namespace paddlestand::observe {
 
 /// The log of one manager. Owned by its host; may be used from the host's thread only.
 class Log {
  public:
+  using Fields = std::initializer_list<LogField>;
+
   Log(const LogConfig& config, std::string manager);
   ~Log();
   Log(const Log&) = delete;
@@ -28,11 +32,25 @@
   /// debug, info, warning or error; anything else is info.
   void set_level(std::string_view level);
 
-  /// `event` says what happened, `text` is for people.
-  void debug(LogEvent event, std::string_view text) { write(spdlog::level::debug, event, text); }
-  void info(LogEvent event, std::string_view text) { write(spdlog::level::info, event, text); }
-  void warn(LogEvent event, std::string_view text) { write(spdlog::level::warn, event, text); }
-  void error(LogEvent event, std::string_view text) { write(spdlog::level::err, event, text); }
+  /// `event` says what happened, `fields` to what; `text` is for people, and says what no field does.
+  void debug(LogEvent event, Fields fields, std::string_view text = {}) {
+    write(spdlog::level::debug, event, fields, text);
+  }
+  void info(LogEvent event, Fields fields, std::string_view text = {}) {
+    write(spdlog::level::info, event, fields, text);
+  }
+  void warn(LogEvent event, Fields fields, std::string_view text = {}) {
+    write(spdlog::level::warn, event, fields, text);
+  }
+  void error(LogEvent event, Fields fields, std::string_view text = {}) {
+    write(spdlog::level::err, event, fields, text);
+  }
+
+  /// The same for an event without fields.
+  void debug(LogEvent event, std::string_view text = {}) { debug(event, Fields{}, text); }
+  void info(LogEvent event, std::string_view text = {}) { info(event, Fields{}, text); }
+  void warn(LogEvent event, std::string_view text = {}) { warn(event, Fields{}, text); }
+  void error(LogEvent event, std::string_view text = {}) { error(event, Fields{}, text); }
 
   /// A query's final answer and what became of its attempts, where the settings ask for them.
   void answer(const core::Answer& answer, std::string_view class_name);
@@ -45,7 +63,7 @@
   [[nodiscard]] std::size_t lost() const;
 
  private:
-  void write(spdlog::level::level_enum level, LogEvent event, std::string_view text);
+  void write(spdlog::level::level_enum level, LogEvent event, Fields fields, std::string_view text);
 
   std::string manager_;
   bool json_, answers_;
