--- a/src/platform/client_registry.cpp
+++ b/src/platform/client_registry.cpp
@@ -7,6 +7,7 @@
 #include "platform_host.hpp"
 
 namespace paddlestand::platform {
+using Field = observe::LogFieldName;
 namespace {
 
 constexpr auto rejection_log_period = std::chrono::seconds(1);
@@ -67,9 +68,8 @@
     const std::size_t bytes = (*largest)->buffered_bytes();
     if (bytes == 0) return;
     buffered_bytes -= bytes;
-    host_.log().warn(observe::LogEvent::backlog_exceeded, "client " + std::to_string((*largest)->number()) +
-                                                              " closed: it holds " + std::to_string(bytes) +
-                                                              " bytes");
+    host_.log().warn(observe::LogEvent::backlog_exceeded,
+                     {{Field::client, (*largest)->number()}, {Field::bytes, bytes}}, "closed");
     (*largest)->close("holds the most unread bytes");
     clients.erase(largest);
   }
@@ -82,7 +82,7 @@
 void ClientRegistry::close_all() {
   for (const auto& client : all()) {
     if (client->is_open() && !client->is_idle()) {
-      host_.count(core::Violation::closed_with_open_requests, "client " + std::to_string(client->number()));
+      host_.count(core::Violation::closed_with_open_requests, {Field::client, client->number()});
     }
     client->close("the process ends");
   }
@@ -106,16 +106,16 @@
   ++rejections_;
   if (host_.now() < rejection_logged_at_ + rejection_log_period) return;
   rejection_logged_at_ = host_.now();
-  host_.log().info(observe::LogEvent::request_rejected, "client " + std::to_string(client.number()) + ": " +
-                                                            problem.text + "; " +
-                                                            std::to_string(rejections_) + " so far");
+  host_.log().info(
+      observe::LogEvent::request_rejected,
+      {{Field::client, client.number()}, {Field::reason, problem.text}, {Field::rejections, rejections_}});
 }
 
 void ClientRegistry::log_close(const Client& client, std::string_view reason, std::size_t open_requests) {
   if (open_requests == 0 && !host_.is_tracing()) return;
-  host_.log().info(observe::LogEvent::client_closed, "client " + std::to_string(client.number()) + ": " +
-                                                         std::string(reason) + "; " +
-                                                         std::to_string(open_requests) + " requests open");
+  host_.log().info(
+      observe::LogEvent::client_closed,
+      {{Field::client, client.number()}, {Field::reason, reason}, {Field::requests, open_requests}});
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/config_reloader.cpp
+++ b/src/platform/config_reloader.cpp
@@ -14,8 +14,8 @@
   const auto config = read_config(path_);
   if (const auto* problem = std::get_if<Problem>(&config)) {
     if (!is_failure_logged_) {
-      host_.log().error(observe::LogEvent::config_reload,
-                        problem->text + "; nothing is changed, it is read again soon");
+      host_.log().error(observe::LogEvent::config_reload, {{observe::LogFieldName::reason, problem->text}},
+                        "nothing is changed, it is read again soon");
     }
     is_failure_logged_ = true;
     retry_later();
--- a/src/platform/engine_answers.cpp
+++ b/src/platform/engine_answers.cpp
@@ -3,9 +3,9 @@
 #include <cmath>
 
 #include "engine_dispatch.hpp"
-#include "hex.hpp"
 
 namespace paddlestand::platform {
+using Field = observe::LogFieldName;
 using namespace std::chrono_literals;
 
 namespace {
@@ -43,8 +43,7 @@
   end.report = load_report_of(answer);
   stream.is_ended = true;
   connection.end_stream(stream.id);
-  if (host_.is_tracing())
-    host_.log().info(observe::LogEvent::health_check, "engine " + std::to_string(stream.engine));
+  if (host_.is_tracing()) host_.log().info(observe::LogEvent::health_check, {{Field::engine, stream.engine}});
   host_.dispatch(end);
 }
 
@@ -81,7 +80,7 @@
   end.memory_mb = head.memory_mb;
   end.report = load_report_of(head);
   stream.is_ended = true;
-  log_attempt_end(stream, "answered, code " + std::to_string(static_cast<int>(head.code)));
+  log_attempt_end(stream, {Field::code, static_cast<int>(head.code)});
   connection.end_stream(stream.id);
   connections_.attempts().ended(stream.id, connection.number());
   // Writing may read clients' input and end channels, this one too: the stream is not used after it.
@@ -98,10 +97,10 @@
                                         const engine_frames::Answer& answer) {
   ++unmatched_frames_;
   if (!host_.is_tracing()) return;
-  host_.log().info(observe::LogEvent::frame_unmatched,
-                   hex_of(answer.id) + " code " + std::to_string(static_cast<int>(answer.code)) + " engine " +
-                       std::to_string(connection.engine()) + " connection " +
-                       std::to_string(connection.number()));
+  host_.log().info(observe::LogEvent::frame_unmatched, {{Field::trace, observe::HexId{answer.id}},
+                                                        {Field::code, static_cast<int>(answer.code)},
+                                                        {Field::engine, connection.engine()},
+                                                        {Field::connection, connection.number()}});
 }
 
 // ---- Sweep ----
@@ -158,19 +157,22 @@
 // ---- Log ----
 
 void EngineDispatch::log_sent(const core::SendQuery& action, const EngineStream& stream) {
-  host_.log().info(observe::LogEvent::attempt_sent,
-                   hex_of(stream.id) + " query " + std::to_string(action.query) + " attempt " +
-                       std::to_string(action.attempt) + " engine " + std::to_string(stream.engine) +
-                       " connection " + std::to_string(stream.connection->number()) + " rank " +
-                       std::to_string(action.priority) + " grant " + std::to_string(action.memory_mb));
+  host_.log().info(observe::LogEvent::attempt_sent, {{Field::trace, observe::HexId{stream.id}},
+                                                     {Field::query, action.query},
+                                                     {Field::attempt, action.attempt},
+                                                     {Field::engine, stream.engine},
+                                                     {Field::connection, stream.connection->number()},
+                                                     {Field::priority, action.priority},
+                                                     {Field::memory_mb, action.memory_mb}});
 }
 
-void EngineDispatch::log_attempt_end(const EngineStream& stream, const std::string& how) {
+void EngineDispatch::log_attempt_end(const EngineStream& stream, const observe::LogField& outcome) {
   if (!host_.is_tracing() || stream.is_probe()) return;
-  host_.log().info(observe::LogEvent::attempt_ended,
-                   hex_of(stream.id) + " query " + std::to_string(stream.query) + " engine " +
-                       std::to_string(stream.engine) + " connection " +
-                       std::to_string(stream.connection->number()) + ": " + how);
+  host_.log().info(observe::LogEvent::attempt_ended, {{Field::trace, observe::HexId{stream.id}},
+                                                      {Field::query, stream.query},
+                                                      {Field::engine, stream.engine},
+                                                      {Field::connection, stream.connection->number()},
+                                                      outcome});
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/engine_dispatch.cpp
+++ b/src/platform/engine_dispatch.cpp
@@ -2,9 +2,9 @@
 
 #include "client.hpp"
 #include "endpoint.hpp"
-#include "hex.hpp"
 
 namespace paddlestand::platform {
+using Field = observe::LogFieldName;
 using namespace std::chrono_literals;
 
 namespace {
@@ -81,9 +81,9 @@
 void EngineDispatch::on_connect_failure(EngineId engine, const boost::system::error_code& error,
                                         ConnectRetry retry) {
   if (!host_.is_tracing()) return;
-  host_.log().info(observe::LogEvent::engine_connect_failed,
-                   "engine " + std::to_string(engine) + ": " + error.message() +
-                       (retry == ConnectRetry::yes ? "; tried again" : "; given up"));
+  host_.log().info(observe::LogEvent::engine_connect_failed, {{Field::engine, engine},
+                                                              {Field::reason, error.message()},
+                                                              {Field::retry, retry == ConnectRetry::yes}});
 }
 
 void EngineDispatch::on_lost(const Connection& connection, core::ChannelLossReason reason,
@@ -92,9 +92,9 @@
   for (const auto& [channel, stream] : streams_)
     if (stream.connection == connection) lost.push_back(channel);
   if (reason == core::ChannelLossReason::protocol_error || !lost.empty() || host_.is_tracing()) {
-    host_.log().info(observe::LogEvent::engine_connection_lost,
-                     "engine " + std::to_string(connection->engine()) + ": " + description + "; " +
-                         std::to_string(lost.size()) + " streams end");
+    host_.log().info(
+        observe::LogEvent::engine_connection_lost,
+        {{Field::engine, connection->engine()}, {Field::reason, description}, {Field::streams, lost.size()}});
   }
   connections_.drop(connection);
   for (const core::ChannelId channel : lost) host_.dispatch(core::ChannelLost{channel, reason});
@@ -150,7 +150,7 @@
   if (!requests_.may_dispatch(action.query)) {
     if (host_.is_tracing()) {
       host_.log().info(observe::LogEvent::send_suppressed,
-                       "query " + std::to_string(action.query) + ": its client is gone, or its time");
+                       {{Field::query, action.query}, {Field::reason, "its client is gone, or its time"}});
     }
     return core::WriteResult::suppressed;
   }
@@ -160,7 +160,7 @@
   if (stream->connection->is_closed()) return core::WriteResult::failed;
   if (!may_begin_attempt(request->trace)) return core::WriteResult::suppressed;
   if (!stream->connection->stream_table().open(stream->id, action.channel)) {
-    host_.count(core::Violation::stream_id_used_twice, hex_of(stream->id));
+    host_.count(core::Violation::stream_id_used_twice, {Field::trace, observe::HexId{stream->id}});
     return core::WriteResult::suppressed;
   }
   return send_attempt(action, *stream, *request);
@@ -199,7 +199,7 @@
     connections_.attempts().ended(trace, number);
   }
   if (!connections_.attempts().out(trace)) return true;
-  host_.count(core::Violation::second_attempt_out, hex_of(trace));
+  host_.count(core::Violation::second_attempt_out, {Field::trace, observe::HexId{trace}});
   return false;
 }
 
@@ -207,9 +207,9 @@
 void EngineDispatch::check_sent_attempt(const EngineStream& stream, const ClientRequest& request) {
   if (!stream.is_sent) return;
   if (request.abandoned || !request.client->is_open())
-    host_.count(core::Violation::begun_after_client_left, hex_of(stream.id));
+    host_.count(core::Violation::begun_after_client_left, {Field::trace, observe::HexId{stream.id}});
   if (host_.now() - stream.last_progress > deadline_tolerance)
-    host_.count(core::Violation::deadline_beyond_client, hex_of(stream.id));
+    host_.count(core::Violation::deadline_beyond_client, {Field::trace, observe::HexId{stream.id}});
 }
 
 core::WriteResult EngineDispatch::send(const core::SendProbe& action) {
@@ -239,7 +239,7 @@
 void EngineDispatch::cancel(const core::CancelOnEngine& action) {
   EngineStream* const stream = find(action.channel);
   if (stream == nullptr) return;
-  log_attempt_end(*stream, "cancelled or timed out");
+  log_attempt_end(*stream, {Field::reason, "cancelled or timed out"});
   give_up(action.channel, *stream);
   host_.dispatch(core::ChannelLost{action.channel, core::ChannelLossReason::closed});
 }
--- a/src/platform/engine_dispatch.hpp
+++ b/src/platform/engine_dispatch.hpp
@@ -100,7 +100,8 @@
   [[nodiscard]] bool is_expired(const EngineConnection& connection, TimePoint now) const;
 
   void log_sent(const core::SendQuery& action, const EngineStream& stream);
-  void log_attempt_end(const EngineStream& stream, const std::string& how);
+  // `outcome`: the code of its answer, or the reason why it has none.
+  void log_attempt_end(const EngineStream& stream, const observe::LogField& outcome);
 
   PlatformHost& host_;
   RequestHandler& requests_;
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -9,6 +9,7 @@
 #include "service/spawn.hpp"
 
 namespace paddlestand::platform {
+using Field = observe::LogFieldName;
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
@@ -29,7 +30,9 @@
       engines_(*this, requests_, endpoints_, config_, limits_.max_engine_connections),
       listener_(
           io, [this](tcp::socket socket, Duration waited) { clients_.accept(std::move(socket), waited); },
-          [this](const std::string& what) { log_.warn(observe::LogEvent::accept_failed, what); },
+          [this](const std::string& what) {
+            log_.warn(observe::LogEvent::accept_failed, {{Field::reason, what}});
+          },
           [this] { return event_loop_lag(); }),
       discovery_(io, endpoint_of(config_.discovery_endpoint), discovery_hooks()),
       reloader_(*this, std::move(config_path),
@@ -47,11 +50,11 @@
   service::spawn(io_, listener_.run());
   discovery_.start();
   service::spawn(io_, sweep_loop());
-  log_.info(observe::LogEvent::started,
-            "listening on " + text_of(config_.listen) + ", event " + std::to_string(endpoints_.last()) +
-                ", " + std::to_string(endpoints_.size()) + " engines, " +
-                std::to_string(limits_.max_clients) + " clients and " +
-                std::to_string(limits_.max_engine_connections) + " engine connections at most");
+  log_.info(observe::LogEvent::started, {{Field::address, text_of(config_.listen)},
+                                         {Field::discovery_event, endpoints_.last()},
+                                         {Field::engines, endpoints_.size()},
+                                         {Field::max_clients, limits_.max_clients},
+                                         {Field::max_engine_connections, limits_.max_engine_connections}});
 }
 
 Duration PlatformServer::termination_grace_period() const {
@@ -61,10 +64,9 @@
 void PlatformServer::close_connections() {
   stop();
   discovery_.stop();
-  log_.info(observe::LogEvent::totals, std::to_string(engines_.unmatched_frames()) +
-                                           " frames without stream, " +
-                                           std::to_string(engines_.attempt_count()) + " attempts out, " +
-                                           std::to_string(violations().total()) + " violations");
+  log_.info(observe::LogEvent::totals, {{Field::unmatched_frames, engines_.unmatched_frames()},
+                                        {Field::attempts, engines_.attempt_count()},
+                                        {Field::violations, violations().total()}});
   clients_.close_all();
 }
 
@@ -116,7 +118,8 @@
   return {[this] { return endpoints_.last(); },
           [this](const discovery::Event& event) { return apply(event) != EndpointList::ApplyResult::gap; },
           [this](const std::string& what) {
-            log_.warn(observe::LogEvent::discovery_failed, text_of(config_.discovery_endpoint) + ": " + what);
+            log_.warn(observe::LogEvent::discovery_failed,
+                      {{Field::address, text_of(config_.discovery_endpoint)}, {Field::reason, what}});
           }};
 }
 
@@ -135,9 +138,9 @@
 
 void PlatformServer::log_engines(const discovery::Event& event, const core::EndpointsUpdated& update) {
   for (const EngineEntry& engine : update.engines) {
-    log_.info(observe::LogEvent::engine_updated, std::to_string(engine.engine) + " state " +
-                                                     std::to_string(static_cast<int>(engine.state)) +
-                                                     " event " + std::to_string(event.number));
+    log_.info(observe::LogEvent::engine_updated, {{Field::engine, engine.engine},
+                                                  {Field::state, static_cast<int>(engine.state)},
+                                                  {Field::discovery_event, event.number}});
   }
 }
 
@@ -146,8 +149,10 @@
   config_.discovery_endpoint = config.discovery_endpoint;
   // Every event after the last is requested from the new command channel; the old one is closed at once.
   discovery_.move_to(endpoint_of(config_.discovery_endpoint));
-  log_.info(observe::LogEvent::config_reload, "command channel " + text_of(config_.discovery_endpoint) +
-                                                  " from event " + std::to_string(endpoints_.last()));
+  log_.info(
+      observe::LogEvent::config_reload,
+      {{Field::address, text_of(config_.discovery_endpoint)}, {Field::discovery_event, endpoints_.last()}},
+      "the command channel is read from this event on");
 }
 
 }  // namespace paddlestand::platform
--- a/src/platform/request_handler.cpp
+++ b/src/platform/request_handler.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 
 #include "client.hpp"
-#include "hex.hpp"
 #include "protocol/sql/tables.hpp"
 
 namespace paddlestand::platform {
+using Field = observe::LogFieldName;
 namespace {
 
 /// The line that answers a request; nothing where its answer is none.
@@ -59,19 +59,24 @@
 
 void RequestHandler::log_submission(const ClientRequest& request, const core::QueryArrived& arrived) {
   const auto cost_ms = arrived.estimated_cost ? arrived.estimated_cost->count() / 1000000 : 0;
-  host_.log().info(
-      observe::LogEvent::request_received,
-      hex_of(request.trace) + " client " + std::to_string(request.client->number()) + " query " +
-          std::to_string(arrived.query) + " tables " + std::to_string(arrived.tables) + " bytes " +
-          std::to_string(request.statement.size()) + " cost_ms " + std::to_string(cost_ms) + " patience_ms " +
-          std::to_string(arrived.client_timeout.count() / 1000000) + " key " + hex_of(arrived.ordering_key));
+  const auto client_timeout_ms = arrived.client_timeout.count() / 1000000;
+  host_.log().info(observe::LogEvent::request_received,
+                   {{Field::trace, observe::HexId{request.trace}},
+                    {Field::client, request.client->number()},
+                    {Field::query, arrived.query},
+                    {Field::tables, arrived.tables},
+                    {Field::bytes, request.statement.size()},
+                    {Field::cost_ms, cost_ms},
+                    {Field::client_timeout_ms, client_timeout_ms},
+                    {Field::ordering_key, observe::HexId{arrived.ordering_key}}});
 }
 
 void RequestHandler::abandon(core::SessionId session) {
   if (!requests_.abandon(session)) return;
   if (host_.is_tracing()) {
-    host_.log().info(observe::LogEvent::client_disconnected,
-                     hex_of(requests_.trace_of(session).value_or(0)) + " query " + std::to_string(session));
+    host_.log().info(
+        observe::LogEvent::client_disconnected,
+        {{Field::trace, observe::HexId{requests_.trace_of(session).value_or(0)}}, {Field::query, session}});
   }
   host_.dispatch(core::SessionClosed{session});
 }
@@ -85,7 +90,7 @@
 
 void RequestHandler::log_cancellation(std::size_t requests) {
   if (host_.is_tracing())
-    host_.log().info(observe::LogEvent::request_cancelled, std::to_string(requests) + " requests");
+    host_.log().info(observe::LogEvent::request_cancelled, {{Field::requests, requests}});
 }
 
 bool RequestHandler::may_dispatch(core::QueryId query) {
--- a/src/service/client_session.cpp
+++ b/src/service/client_session.cpp
@@ -9,6 +9,7 @@
 #include "spawn.hpp"
 
 namespace paddlestand::service {
+using Field = observe::LogFieldName;
 namespace asio = boost::asio;
 using boost::system::error_code;
 
@@ -84,14 +85,12 @@
   if (state_ == State::closed) return;
   const auto& listen = server_.config().listen;
   if (!frontend_.started() && now - opened_at_ > listen.login_time) {
-    server_.log().info(observe::LogEvent::login_timed_out,
-                       "session " + std::to_string(id_) + " closed: no login in time");
+    server_.log().info(observe::LogEvent::login_timed_out, {{Field::session, id_}}, "closed");
     close();
     return;
   }
   if (is_writing_ && now - last_write_progress_ > listen.write_stall) {
-    server_.log().info(observe::LogEvent::client_stalled,
-                       "session " + std::to_string(id_) + " closed: its client does not read");
+    server_.log().info(observe::LogEvent::client_stalled, {{Field::session, id_}}, "closed");
     close();
   }
 }
@@ -200,8 +199,7 @@
     frontend_.request_done(*end);
   } else if (is_mid_message_) {
     // The remainder of the message will never come, and an error can't stand inside it.
-    server_.log().warn(observe::LogEvent::connection_aborted,
-                       "session " + std::to_string(id_) + " closed inside a row");
+    server_.log().warn(observe::LogEvent::connection_aborted, {{Field::session, id_}}, "inside a row");
     close_gracefully();
     return;
   } else {
--- a/src/service/dispatcher_host.cpp
+++ b/src/service/dispatcher_host.cpp
@@ -41,14 +41,16 @@
   return std::max({Duration{0}, recent, pending});
 }
 
-void DispatcherHost::count(core::Violation violation, const std::string& what) {
-  if (violations_.add(violation))
-    log_.error(observe::LogEvent::violation, std::string(core::name_of(violation)) + ": " + what);
+void DispatcherHost::count(core::Violation violation, const observe::LogField& subject) {
+  if (violations_.add(violation)) {
+    log_.error(observe::LogEvent::violation,
+               {{observe::LogFieldName::violation, core::name_of(violation)}, subject});
+  }
 }
 
 void DispatcherHost::on_violation(const core::InvariantViolation& violation) {
   log_.error(observe::LogEvent::invariant_violated,
-             std::string(core::name_of(violation.invariant)) + ": " + violation.what);
+             {{observe::LogFieldName::invariant, core::name_of(violation.invariant)}}, violation.what);
 }
 
 void DispatcherHost::execute(const core::LogMessage& action) {
--- a/src/service/dispatcher_host.hpp
+++ b/src/service/dispatcher_host.hpp
@@ -55,8 +55,8 @@
   /// By how much the loop lags behind, as seen by its own timer: what is read now may have arrived that much
   /// earlier.
   [[nodiscard]] Duration event_loop_lag();
-  /// Counts what must never happen, and logs the first of each kind.
-  void count(core::Violation violation, const std::string& what);
+  /// Counts what must never happen, and logs the first of each kind. `subject`: what it happened to.
+  void count(core::Violation violation, const observe::LogField& subject);
 
   boost::asio::io_context& io_;
   observe::Log log_;
--- a/src/service/engine_channel.cpp
+++ b/src/service/engine_channel.cpp
@@ -7,6 +7,7 @@
 #include "spawn.hpp"
 
 namespace paddlestand::service {
+using Field = observe::LogFieldName;
 namespace asio = boost::asio;
 using boost::system::error_code;
 using std::chrono::steady_clock;
@@ -110,13 +111,15 @@
   if (std::holds_alternative<pg::BackendReady>(event)) {
     server_.dispatch(core::ChannelOpened{id_});
   } else if (const auto* refused = std::get_if<pg::BackendRefused>(&event)) {
-    server_.log().info(observe::LogEvent::engine_channel_failed, "channel " + std::to_string(id_) +
-                                                                     " rejected: " + refused->error.code +
-                                                                     " " + refused->error.message);
+    server_.log().info(observe::LogEvent::engine_channel_failed,
+                       {{Field::channel, id_},
+                        {Field::sqlstate, refused->error.code},
+                        {Field::reason, refused->error.message}},
+                       "rejected");
     report_loss(core::ChannelLossReason::refused);
   } else if (const auto* broken = std::get_if<pg::BackendBroken>(&event)) {
     server_.log().warn(observe::LogEvent::engine_channel_failed,
-                       "channel " + std::to_string(id_) + " closed: " + broken->what);
+                       {{Field::channel, id_}, {Field::reason, broken->what}}, "closed");
     report_loss(core::ChannelLossReason::protocol_error);
   } else if (std::holds_alternative<pg::BackendAnswerPart>(event)) {
     on_answer_part(new_bytes);
--- a/src/service/engine_list_file.cpp
+++ b/src/service/engine_list_file.cpp
@@ -7,6 +7,7 @@
 #include <variant>
 
 namespace paddlestand::service {
+using Field = observe::LogFieldName;
 
 bool EngineListFile::Version::operator==(const Version& other) const {
   return modified.tv_sec == other.modified.tv_sec && modified.tv_nsec == other.modified.tv_nsec &&
@@ -20,8 +21,10 @@
 }
 
 void EngineListFile::on_missing() {
-  if (!is_missing_)
-    log_.warn(observe::LogEvent::engine_list, config_.engines_file + ": can't be read; the last list stays");
+  if (!is_missing_) {
+    log_.warn(observe::LogEvent::engine_list,
+              {{Field::file, config_.engines_file}, {Field::reason, "can't be read"}}, "the last list stays");
+  }
   is_missing_ = true;
 }
 
@@ -37,14 +40,16 @@
 
   auto read = config::read_engine_list(config_.engines_file, config_);
   if (const auto* fault = std::get_if<config::Fault>(&read)) {
-    if (!(*version == last_faulty_))
-      log_.warn(observe::LogEvent::engine_list, fault->text() + "; the last list stays, it is read again");
+    if (!(*version == last_faulty_)) {
+      log_.warn(observe::LogEvent::engine_list, {{Field::reason, fault->text()}},
+                "the last list stays, it is read again");
+    }
     last_faulty_ = *version;
     last_read_ = {};  // the same file may be read well in a moment
     return std::nullopt;
   }
   auto engines = std::get<std::vector<config::ListedEngine>>(std::move(read));
-  log_.info(observe::LogEvent::engine_list, "list of " + std::to_string(engines.size()) + " engines read");
+  log_.info(observe::LogEvent::engine_list, {{Field::engines, engines.size()}}, "read");
   return engines;
 }
 
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -15,6 +15,7 @@
 #include "spawn.hpp"
 
 namespace paddlestand::service {
+using Field = observe::LogFieldName;
 namespace asio = boost::asio;
 using boost::system::error_code;
 using std::chrono::steady_clock;
@@ -41,7 +42,9 @@
       classifier_(config_.classifier, config_.core.module),
       listener_(
           io, [this](tcp::socket socket, Duration) { accept_connection(std::move(socket)); },
-          [this](const std::string& fault) { log_.warn(observe::LogEvent::accept_failed, fault); },
+          [this](const std::string& fault) {
+            log_.warn(observe::LogEvent::accept_failed, {{Field::reason, fault}});
+          },
           [this] { return event_loop_lag(); }),
       closer_(io),
       engine_list_(config_, log_),
@@ -71,8 +74,8 @@
   spawn(io_, sweep_sessions());
   spawn(io_, watch_signals());
   if (!config_.engines_file.empty()) spawn(io_, watch_engine_list());
-  log_.info(observe::LogEvent::started,
-            "listening on " + config_.listen.address + ":" + std::to_string(port()));
+  const std::string address = config_.listen.address + ":" + std::to_string(port());
+  log_.info(observe::LogEvent::started, {{Field::address, address}});
 }
 
 // ---- The core's actions ----
@@ -214,9 +217,11 @@
     error_code error;
     const auto address = asio::ip::make_address(engine.at.address, error);
     if (error) {
-      log_.error(observe::LogEvent::engine_list, "engine '" + engine.at.name + "': address '" +
-                                                     engine.at.address +
-                                                     "'; wanted: an IP address. It is left out");
+      log_.error(observe::LogEvent::engine_list,
+                 {{Field::engine_name, engine.at.name},
+                  {Field::address, engine.at.address},
+                  {Field::reason, "not an IP address"}},
+                 "left out");
       continue;
     }
     channels_.set_endpoint(engine.entry.engine, {address, engine.at.port});
@@ -239,8 +244,8 @@
 
 void PostgresServer::on_reload_fault(const std::string& fault) {
   if (!reload_retry_.is_retrying()) {
-    log_.error(observe::LogEvent::config_reload,
-               fault + "; nothing is changed, it is read again for a while");
+    log_.error(observe::LogEvent::config_reload, {{Field::reason, fault}},
+               "nothing is changed, it is read again for a while");
   }
   reload_retry_.on_failure();
 }
@@ -255,11 +260,13 @@
   const auto& fresh = std::get<config::ManagerConfig>(read);
   if (const std::string fixed = config::not_reloadable(config_, fresh); !fixed.empty()) {
     log_.error(observe::LogEvent::config_reload,
-               "can't be changed while the manager runs: " + fixed + "; nothing is changed");
+               {{Field::setting, fixed}, {Field::reason, "can't be changed while the manager runs"}},
+               "nothing is changed");
     return;
   }
   adopt_settings(fresh);
-  log_.info(observe::LogEvent::config_reload, "engines, rules and log level are as in " + config_path_);
+  log_.info(observe::LogEvent::config_reload, {{Field::file, config_path_}},
+            "engines, rules and log level are as in this file");
 }
 
 void PostgresServer::adopt_settings(const config::ManagerConfig& fresh) {
--- a/tests/incidents/earlier_ends_test.cpp
+++ b/tests/incidents/earlier_ends_test.cpp
@@ -73,7 +73,8 @@
   ready.entry.started = std::chrono::system_clock::now().time_since_epoch() - std::chrono::hours(1);
   discovery_peer.send_event(2, {removed});
   discovery_peer.send_event(3, {ready});
-  ASSERT_TRUE(comes_true([&] { return manager().log().find("event 3") != std::string::npos; }));
+  const std::string ready_is_logged = R"("event":"engine_updated","engine":1,"state":1,"discovery_event":3})";
+  ASSERT_TRUE(comes_true([&] { return manager().log().find(ready_is_logged) != std::string::npos; }));
 
   client().send_request(next_number(), request_trace);
   std::uint64_t on_connection = 0;
