--- a/tests/decision/request_lifecycle_test.cpp
+++ b/tests/decision/request_lifecycle_test.cpp
@@ -55,7 +55,7 @@
 
 TEST(RequestLifecycle, ForgettingARequestMakesTheNextOfItsKeyTheFirst) {
   DecisionFixture fixture;
-  for (const RequestId id : {1, 2}) {
+  for (const RequestId id : {1U, 2U}) {
     fixture.add_request(id).ordering_key = 7;
     fixture.state.ordering_keys.append(7, id);
   }
--- a/tests/platform/client_close_test.cpp
+++ b/tests/platform/client_close_test.cpp
@@ -64,7 +64,7 @@
   RawClient client(server.port());
 
   client.wire().write("noise\n");
-  const std::string more(64 * 1024, 'x');
+  const std::string more(std::size_t{64} * 1024, 'x');
   std::size_t written = 0;
   while (written < 256 * more.size() && client.wire().write(more)) written += more.size();
   EXPECT_LT(written, 256 * more.size());
@@ -195,7 +195,7 @@
   // Each 64 KB as a line; what is beyond the sockets' own buffers stands at the manager.
   int id = 1;
   std::vector<EnginePeer> sides;
-  while (server.unread_bytes() < 600 * 1024 && id < 200) {
+  while (server.unread_bytes() < std::size_t{600} * 1024 && id < 200) {
     ++id;
     client.send_request(id, 0x51U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
@@ -272,11 +272,14 @@
   std::optional<Listener> closed_listener(std::in_place);
   settings.discovery_endpoint.port = closed_listener->port();
   closed_listener.reset();  // its port is nobody's
-  const std::string path = ::testing::TempDir() + "paddlestand-crowd-" + std::to_string(::getpid()) + ".json";
+  const std::string path =
+      ::testing::TempDir() + "paddlestand-silent-clients-" + std::to_string(::getpid()) + ".json";
   RunningServer server(std::move(settings), path);
+  constexpr int client_count = 300;
   std::vector<RawClient> silent_clients;
+  silent_clients.reserve(client_count);
 
-  for (int i = 0; i < 300; ++i) silent_clients.emplace_back(server.port());
+  for (int i = 0; i < client_count; ++i) silent_clients.emplace_back(server.port());
   EXPECT_TRUE(comes_true([&] { return server.clients() >= 52; }));
 
   std::ofstream(path) << config_text(discovery_listener_.port());
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -69,10 +69,11 @@
 
 TEST(PlatformConfig, EveryDefectIsOneProblem) {
   EXPECT_TRUE(std::holds_alternative<platform::Problem>(platform::read_config("/nowhere/config.json")));
-  const std::string whole = config_text();
-  for (std::size_t size = 0; size < whole.size(); size += 97)
-    EXPECT_TRUE(std::holds_alternative<platform::Problem>(platform::parse_config(whole.substr(0, size))))
-        << size;
+  const std::string complete = config_text();
+  for (std::size_t size = 0; size < complete.size(); size += 97) {
+    const auto config = platform::parse_config(complete.substr(0, size));
+    EXPECT_TRUE(std::holds_alternative<platform::Problem>(config)) << size;
+  }
   const std::vector<std::pair<std::string, std::string>> changes{
       {"127.0.0.4:4100", "localhost"},
       {"127.0.0.4:4100", "127.0.0.4:0"},
@@ -88,9 +89,10 @@
       {"\"multiplex\":32", "\"multiplex\":0"},
       {"\"pure\"", "\"odd\""},
       {"\"cursor\":1,\"cmds\"", "\"cursor\":-1,\"cmds\""}};
-  for (const auto& [from, to] : changes)
-    EXPECT_TRUE(std::holds_alternative<platform::Problem>(platform::parse_config(config_text(from, to))))
-        << to;
+  for (const auto& [from, to] : changes) {
+    const auto config = platform::parse_config(config_text(from, to));
+    EXPECT_TRUE(std::holds_alternative<platform::Problem>(config)) << to;
+  }
 }
 
 }  // namespace
--- a/tests/platform/discovery_events_test.cpp
+++ b/tests/platform/discovery_events_test.cpp
@@ -10,11 +10,11 @@
 using namespace std::chrono_literals;
 using namespace std::string_literals;
 
-discovery::Event event(std::uint64_t number, bool whole, std::vector<EngineId> engines,
+discovery::Event event(std::uint64_t number, bool is_full_list, const std::vector<EngineId>& engines,
                        EngineState state = EngineState::ready) {
   discovery::Event out;
   out.number = number;
-  out.is_full_list = whole;
+  out.is_full_list = is_full_list;
   for (const EngineId id : engines) {
     discovery::Record record;
     record.entry = {id, state, 1, 2, 3, 1.5, 1700000000123ms};
