--- a/tests/faults/clients.cpp
+++ b/tests/faults/clients.cpp
@@ -1,60 +1,43 @@
-// The clients of a fault run.
+/// The clients of a fault run: they send requests at random times, cancel, disconnect and write slowly, and
+/// record how each request ends.
 #include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
 #include <algorithm>
-#include <boost/json.hpp>
 #include <list>
 #include <map>
 #include <random>
+#include <string_view>
+#include <utility>
+#include <vector>
 
+#include "client_commands.hpp"
+#include "client_connection.hpp"
+#include "client_protocol.hpp"
 #include "event_log.hpp"
+#include "monotonic_clock.hpp"
 #include "processes.hpp"
-#include "protocol/base64.hpp"
 
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::int64_t millisecond = 1'000'000;
-constexpr std::int64_t answer_slack =
-    700 * millisecond;  // beyond the client's client timeout: 0.5 s, and the machine's own
-constexpr std::int64_t rest_life = 3800 * millisecond;  // clients close what was idle for 4 s
-constexpr std::int64_t crowd_period = 100 * millisecond;  // between new idle connections, one to each manager
-constexpr std::uint32_t max_open = 8;
-constexpr double chance_cancel = 0.04, chance_leave = 0.02, chance_slow = 0.02, chance_burst = 0.05;
-
-struct Open {
-  std::uint64_t trace{};
-  std::int64_t began{}, asked{};
-  std::int64_t gives_up_at{};
-  std::optional<std::int64_t> cancels_at;
-  bool cancelled = false;
-};
+// After the client's timeout: 0.5 s that a manager may take, and what this machine adds.
+constexpr std::int64_t answer_slack = 700 * millisecond;
+constexpr std::int64_t idle_timeout = 3800 * millisecond;  // clients close connections that are idle for 4 s
+constexpr std::int64_t idle_connection_period = 100 * millisecond;  // a new one to each manager
+constexpr std::size_t max_open_requests = 8;  // on a connection
+constexpr int burst_requests = 4;  // written at once
 
-struct Seat {
-  Seat(Connection made, std::uint32_t at) : connection(std::move(made)), manager(at) {
-    port = connection.own_port();
-  }
-  Connection connection;
-  std::uint32_t manager;
-  std::uint32_t port;
-  std::string in;
-  std::map<std::int64_t, Open> open;  // by the client's number
-  std::map<std::int64_t, RunEvent> unwritten;  // of these, those that were not written whole yet
-  std::int64_t last_id = 0;
-  std::int64_t used = monotonic_now();
-  std::optional<std::int64_t> leaves_at;
-  std::string rest;  // of a request that is written slowly
-  std::int64_t rest_at = 0, rest_id = 0;
-  bool silent = false;  // one of a crowd
-};
-
-std::string hex(std::uint64_t value) {
-  char text[17];
-  std::snprintf(text, sizeof(text), "%016llx", static_cast<unsigned long long>(value));
-  return text;
-}
+// Probabilities, for each request or for each time that requests are written.
+constexpr double cancel_probability = 0.04;
+constexpr double disconnect_probability = 0.02;
+constexpr double slow_write_probability = 0.02;
+constexpr double burst_probability = 0.05;
+constexpr double reuse_probability = 0.9;  // of a connection with capacity, where a new one is allowed
+constexpr double short_timeout_probability = 0.1;
+constexpr double unsafe_above = 0.85;
+constexpr double keyed_above = 0.7;
 
 class Clients {
  public:
@@ -62,260 +45,316 @@
       : options_(options),
         log_(options.log),
         random_(options.seed * 7919 + options.number),
-        shunned_(options.managers.size(), false),
-        next_ask_(monotonic_now()) {}
+        may_connect_(options.managers.size(), true),
+        next_request_(monotonic_now()) {}
 
   int run() {
     while (!finishing_ || anything_open()) {
-      open_crowd();
-      ask_due();
-      wait();
+      open_idle_connections();
+      send_due_requests();
+      poll_input();
       act_on_time();
     }
     return 0;
   }
 
  private:
-  double share() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  std::int64_t between_ms(std::int64_t least, std::int64_t most) {
+  using ConnectionIterator = std::list<ClientConnection>::iterator;
+
+  // ---- Random draws; their order is part of the plan of a seed. ----
+
+  double draw_uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  bool misbehaves_with(double probability) { return options_.misbehaves && draw_uniform() < probability; }
+  /// A whole number of milliseconds, in nanoseconds.
+  std::int64_t draw_ms(std::int64_t least, std::int64_t most) {
     return std::uniform_int_distribution<std::int64_t>(least, most)(random_) * millisecond;
   }
+  std::uint64_t draw_trace() {
+    constexpr std::uint64_t random_bits = 0x00ffffffffffffffU;
+    constexpr unsigned number_shift = 56;
+    const std::uint64_t drawn = std::uniform_int_distribution<std::uint64_t>()(random_);
+    return (drawn & random_bits) | (std::uint64_t{options_.number} << number_shift);
+  }
+  RequestClass draw_class() {
+    const double drawn = draw_uniform();
+    if (drawn > unsafe_above) return RequestClass::settle;
+    return drawn > keyed_above ? RequestClass::load : RequestClass::lookup;
+  }
+  ClientRequest draw_request(std::int64_t id) {
+    constexpr std::int64_t short_timeout_ms = 40;
+    constexpr std::int64_t usual_timeout_ms = 250;
+    constexpr std::int64_t max_timeout_ms = 1200;
+    ClientRequest request;
+    request.id = id;
+    request.trace = draw_trace();
+    const bool is_short = draw_uniform() < short_timeout_probability;
+    request.client_timeout_ms =
+        draw_ms(is_short ? short_timeout_ms : usual_timeout_ms, max_timeout_ms) / millisecond;
+    request.request_class = draw_class();
+    return request;
+  }
+
+  // ---- Connections ----
+
   [[nodiscard]] bool anything_open() const {
-    return std::any_of(seats_.begin(), seats_.end(),
-                       [](const Seat& seat) { return !seat.open.empty() || !seat.rest.empty(); });
+    return std::any_of(connections_.begin(), connections_.end(),
+                       [](const ClientConnection& connection) { return !connection.is_idle(); });
   }
 
-  void open_crowd() {
-    if (options_.idle_connections == 0 || finishing_ || monotonic_now() < next_crowd_) return;
-    next_crowd_ = monotonic_now() + crowd_period;
-    for (std::uint32_t m = 0; m < options_.managers.size(); ++m) {
-      const auto silent = std::count_if(seats_.begin(), seats_.end(),
-                                        [m](const Seat& seat) { return seat.silent && seat.manager == m; });
-      if (shunned_[m] || silent >= options_.idle_connections) continue;
-      if (auto made = Connection::connect(options_.managers[m])) {
-        seats_.emplace_back(std::move(*made), m);
-        seats_.back().silent = true;
-      }
+  void open_idle_connections() {
+    if (options_.idle_connections == 0 || finishing_ || monotonic_now() < next_idle_connections_) return;
+    next_idle_connections_ = monotonic_now() + idle_connection_period;
+    for (std::uint32_t i = 0; i < options_.managers.size(); ++i) {
+      if (!may_connect_[i] || count_idle_connections(i) >= options_.idle_connections) continue;
+      if (ClientConnection* connection = connect(i)) connection->stays_idle = true;
     }
   }
 
-  void ask_due() {
-    while (!finishing_ && next_ask_ <= monotonic_now()) {
-      const double gap = std::exponential_distribution<double>(options_.requests_per_s)(random_);
-      next_ask_ += static_cast<std::int64_t>(gap * 1e9);
-      const auto manager = std::uniform_int_distribution<std::uint32_t>(
-          0, static_cast<std::uint32_t>(options_.managers.size()) - 1)(random_);
-      const int requests = share() < chance_burst ? 4 : 1;
-      if (Seat* seat = seat_at(manager); seat != nullptr) ask(*seat, requests);
-    }
+  [[nodiscard]] std::int64_t count_idle_connections(std::uint32_t manager) const {
+    return std::count_if(connections_.begin(), connections_.end(),
+                         [manager](const ClientConnection& connection) {
+                           return connection.stays_idle && connection.manager == manager;
+                         });
   }
 
-  // A seat with room, a new one, or none.
-  Seat* seat_at(std::uint32_t manager) {
-    std::vector<Seat*> free;
+  /// A new connection; or null.
+  ClientConnection* connect(std::uint32_t manager) {
+    auto connected = Connection::connect(options_.managers[manager]);
+    if (!connected) return nullptr;
+    return &connections_.emplace_back(std::move(*connected), manager);
+  }
+
+  /// A connection with capacity, a new one, or null.
+  ClientConnection* connection_for_request(std::uint32_t manager) {
+    std::vector<ClientConnection*> usable;
     std::uint32_t all = 0;
-    for (Seat& seat : seats_) {
-      if (seat.manager != manager || seat.silent) continue;
+    for (ClientConnection& connection : connections_) {
+      if (connection.manager != manager || connection.stays_idle) continue;
       ++all;
-      if (seat.rest.empty() && seat.open.size() < max_open && !ended_meanwhile(seat)) free.push_back(&seat);
+      if (has_capacity(connection)) usable.push_back(&connection);
     }
-    if (!free.empty() && (all >= options_.max_connections || share() < 0.9))
-      return free[std::uniform_int_distribution<std::size_t>(0, free.size() - 1)(random_)];
-    if (shunned_[manager] || all >= options_.max_connections) return nullptr;
-    auto made = Connection::connect(options_.managers[manager]);
-    if (!made) return nullptr;
-    seats_.emplace_back(std::move(*made), manager);
-    return &seats_.back();
+    if (!usable.empty() && (all >= options_.max_connections || draw_uniform() < reuse_probability))
+      return usable[std::uniform_int_distribution<std::size_t>(0, usable.size() - 1)(random_)];
+    if (!may_connect_[manager] || all >= options_.max_connections) return nullptr;
+    return connect(manager);
   }
 
-  // A client writes nothing into a connection whose end is here.
-  static bool ended_meanwhile(const Seat& seat) {
+  static bool has_capacity(const ClientConnection& connection) {
+    return !connection.delayed_write && connection.open.size() < max_open_requests && !has_ended(connection);
+  }
+
+  /// A client writes nothing to a connection whose end has arrived.
+  static bool has_ended(const ClientConnection& connection) {
     char next{};
-    return ::recv(seat.connection.socket(), &next, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
+    return ::recv(connection.connection.socket(), &next, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
   }
 
-  std::string request(std::int64_t id, std::uint64_t trace, std::int64_t client_timeout_ms) {
-    const double kind = share();
-    std::string more;
-    const char* name = "lookup";
-    if (kind > 0.85) {
-      name = "settle";
-    } else if (kind > 0.7) {
-      name = "load";
-      more = ",\"nonce\":\"" + hex(trace) + hex(~trace) + "\",\"entity\":\"" + hex(trace | 1U) + "\"";
+  // ---- Requests ----
+
+  void send_due_requests() {
+    while (!finishing_ && next_request_ <= monotonic_now()) {
+      const double gap_s = std::exponential_distribution<double>(options_.requests_per_s)(random_);
+      next_request_ += from_seconds(gap_s);
+      const auto last_manager = static_cast<std::uint32_t>(options_.managers.size()) - 1;
+      const auto manager = std::uniform_int_distribution<std::uint32_t>(0, last_manager)(random_);
+      const int requests = draw_uniform() < burst_probability ? burst_requests : 1;
+      ClientConnection* connection = connection_for_request(manager);
+      if (connection != nullptr) send_requests(*connection, requests);
     }
-    class_name_ = name;
-    return "{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(id) + ",\"method\":\"" + name +
-           "\",\"params\":{\"trace\":\"" + hex(trace) +
-           "\",\"patience\":" + std::to_string(client_timeout_ms) + ",\"weight\":20,\"content\":\"" +
-           base64("SELECT 1 FROM sales_1.orders") + "\"" + more + "}}\n";
   }
 
-  void ask(Seat& seat, int requests) {
+  void send_requests(ClientConnection& connection, int requests) {
     std::string bytes;
     std::vector<std::int64_t> ids;
-    const bool first = seat.last_id == 0;
+    const bool first = connection.last_id == 0;
     for (int i = 0; i < requests; ++i) {
-      Open open;
-      open.trace = (std::uniform_int_distribution<std::uint64_t>()(random_) & 0x00ffffffffffffffU) |
-                   (std::uint64_t{options_.number} << 56U);
-      const std::int64_t client_timeout_ms = between_ms(share() < 0.1 ? 40 : 250, 1200) / millisecond;
-      const std::int64_t id = ++seat.last_id;
-      bytes += request(id, open.trace, client_timeout_ms);
-      open.began = monotonic_now();
-      RunEvent asked{EventKind::asked, 0,         open.trace, seat.manager, client_timeout_ms,
-                     open.began,       seat.port, first,      class_name_};
-      seat.unwritten[id] = asked;
-      if (options_.misbehaves && share() < chance_cancel) open.cancels_at = open.began + between_ms(0, 300);
-      open.gives_up_at = open.began + client_timeout_ms * millisecond + answer_slack;
-      seat.open.emplace(id, open);
-      ids.push_back(id);
+      const ClientRequest request = draw_request(++connection.last_id);
+      bytes += request_line(request);
+      ids.push_back(request.id);
+      add_open_request(connection, request, first);
     }
-    if (options_.misbehaves && requests == 1 && share() < chance_slow) {
-      const std::size_t half = bytes.size() / 2;
-      seat.rest = bytes.substr(half);
-      seat.rest_at = monotonic_now() + between_ms(10, 200);
-      seat.rest_id = ids[0];
-      bytes.resize(half);
-      seat.connection.queue(bytes);
-      seat.connection.flush();
+    if (requests == 1 && misbehaves_with(slow_write_probability)) {
+      write_slowly(connection, bytes, ids[0]);
       return;
     }
-    if (options_.misbehaves && share() < chance_leave) seat.leaves_at = monotonic_now() + between_ms(0, 150);
-    seat.connection.queue(bytes);
-    seat.connection.flush();
-    for (const std::int64_t id : ids) written(seat, id);
+    if (misbehaves_with(disconnect_probability)) connection.disconnect_at = monotonic_now() + draw_ms(0, 150);
+    write(connection, bytes);
+    for (const std::int64_t id : ids) record_sent(connection, id);
   }
 
-  // From here on the request is the manager's: its time counts from the last byte.
-  void written(Seat& seat, std::int64_t id) {
-    RunEvent asked = seat.unwritten.extract(id).mapped();
-    asked.at = monotonic_now();
-    log_.write(asked);
-    Open& open = seat.open.at(id);
-    open.asked = asked.at;
-    open.gives_up_at = asked.at + asked.value * millisecond + answer_slack;
-    seat.used = asked.at;
+  void add_open_request(ClientConnection& connection, const ClientRequest& request, bool first) {
+    OpenRequest open;
+    open.trace = request.trace;
+    open.began = monotonic_now();
+    open.unanswered_at = open.began + request.client_timeout_ms * millisecond + answer_slack;
+    if (misbehaves_with(cancel_probability)) open.cancel_at = open.began + draw_ms(0, 300);
+    connection.open.emplace(request.id, open);
+    connection.unsent[request.id] = {.kind = EventKind::request_sent,
+                                     .trace = request.trace,
+                                     .subject = connection.manager,
+                                     .value = request.client_timeout_ms,
+                                     .began = open.began,
+                                     .port = connection.port,
+                                     .first = first,
+                                     .detail = name_of(request.request_class)};
   }
 
-  void wait() {
-    std::vector<pollfd> all{{STDIN_FILENO, POLLIN, 0}};
-    std::vector<std::list<Seat>::iterator> order;
-    for (auto seat = seats_.begin(); seat != seats_.end(); ++seat) {
-      const auto writes = static_cast<short>(seat->connection.wants_to_write() ? POLLOUT : 0);
-      all.push_back({seat->connection.socket(), static_cast<short>(POLLIN | writes), 0});
-      order.push_back(seat);
-    }
+  static void write(ClientConnection& connection, std::string_view bytes) {
+    connection.connection.queue(bytes);
+    connection.connection.flush();
+  }
+
+  void write_slowly(ClientConnection& connection, const std::string& bytes, std::int64_t request_id) {
+    const std::size_t half = bytes.size() / 2;
+    const std::int64_t at = monotonic_now() + draw_ms(10, 200);
+    connection.delayed_write = DelayedWrite{bytes.substr(half), at, request_id};
+    write(connection, std::string_view(bytes).substr(0, half));
+  }
+
+  void write_delayed(ClientConnection& connection) {
+    const DelayedWrite delayed = *std::exchange(connection.delayed_write, std::nullopt);
+    write(connection, delayed.bytes);
+    record_sent(connection, delayed.request_id);
+  }
+
+  /// From here on the request is the manager's: its time counts from the last byte.
+  void record_sent(ClientConnection& connection, std::int64_t id) {
+    RunEvent event = connection.unsent.extract(id).mapped();
+    event.at = monotonic_now();
+    log_.write(event);
+    OpenRequest& open = connection.open.at(id);
+    open.sent = event.at;
+    open.unanswered_at = event.at + event.value * millisecond + answer_slack;
+    connection.last_used = event.at;
+  }
+
+  /// Records what ends a request, or its connection.
+  void record(EventKind kind, const ClientConnection& connection, const OpenRequest& open, std::int64_t at,
+              const char* detail = "") {
+    log_.write({.kind = kind,
+                .at = at,
+                .trace = open.trace,
+                .subject = connection.manager,
+                .began = open.sent,
+                .port = connection.port,
+                .detail = detail});
+  }
+
+  // ---- Input ----
+
+  void poll_input() {
     constexpr int tick_ms = 5;
-    ::poll(all.data(), all.size(), tick_ms);
-    if (all[0].revents != 0) take_command();
+    std::vector<pollfd> polled{{STDIN_FILENO, POLLIN, 0}};
+    std::vector<ConnectionIterator> order;
+    for (auto one = connections_.begin(); one != connections_.end(); ++one) {
+      const auto output = static_cast<short>(one->connection.wants_to_write() ? POLLOUT : 0);
+      polled.push_back({one->connection.socket(), static_cast<short>(POLLIN | output), 0});
+      order.push_back(one);
+    }
+    ::poll(polled.data(), polled.size(), tick_ms);
+    if (polled[0].revents != 0) read_commands();
     for (std::size_t i = 0; i < order.size(); ++i)
-      if (all[i + 1].revents != 0) serve(order[i]);
+      if (polled[i + 1].revents != 0) serve(order[i]);
   }
 
-  void take_command() {
+  void read_commands() {
     char part[256];
-    const ssize_t got = ::read(STDIN_FILENO, part, sizeof(part));
-    if (got <= 0) {
+    const ssize_t size = ::read(STDIN_FILENO, part, sizeof(part));
+    if (size <= 0) {
       finishing_ = true;
       return;
     }
-    commands_.append(part, static_cast<std::size_t>(got));
+    commands_.append(part, static_cast<std::size_t>(size));
     for (auto end = commands_.find('\n'); end != std::string::npos; end = commands_.find('\n')) {
       const std::string line = commands_.substr(0, end);
       commands_.erase(0, end + 1);
-      if (line == "finish") finishing_ = true;
-      if (line.starts_with("shun ")) shunned_.at(std::stoul(line.substr(5))) = true;
-      if (line.starts_with("use ")) shunned_.at(std::stoul(line.substr(4))) = false;
+      if (const auto command = parse_client_command(line)) handle(*command);
     }
   }
 
-  void serve(std::list<Seat>::iterator seat) {
-    const bool open = seat->connection.flush() && seat->connection.read(seat->in);
-    for (auto end = seat->in.find('\n'); end != std::string::npos; end = seat->in.find('\n')) {
-      take_line(*seat, std::string_view(seat->in).substr(0, end));
-      seat->in.erase(0, end + 1);
+  void handle(const ClientCommand& command) {
+    switch (command.kind) {
+      case ClientCommand::Kind::stop_connecting: may_connect_.at(command.manager) = false; break;
+      case ClientCommand::Kind::resume_connecting: may_connect_.at(command.manager) = true; break;
+      case ClientCommand::Kind::finish: finishing_ = true; break;
     }
-    if (!open) end(seat, EventKind::ended);
   }
 
-  void take_line(Seat& seat, std::string_view line) {
-    boost::json::error_code error;
-    const auto value = boost::json::parse(line, error);
-    const auto* object = error ? nullptr : value.if_object();
-    if (object == nullptr || !object->contains("id") || !object->at("id").is_int64()) return;
-    const auto found = seat.open.find(object->at("id").as_int64());
-    if (found == seat.open.end()) {
-      log_.write({EventKind::answered, monotonic_now(), 0, seat.manager, object->at("id").as_int64(), 0,
-                  seat.port, false, "unasked"});
-      return;
+  void serve(ConnectionIterator connection) {
+    std::string& input = connection->input;
+    const bool open = connection->connection.flush() && connection->connection.read(input);
+    for (auto end = input.find('\n'); end != std::string::npos; end = input.find('\n')) {
+      handle_line(*connection, std::string_view(input).substr(0, end));
+      input.erase(0, end + 1);
     }
-    const Open open = found->second;
-    seat.open.erase(found);
-    log_.write({EventKind::answered, monotonic_now(), open.trace, seat.manager, 0, open.asked, seat.port,
-                false, verdict_of(*object, open.trace)});
+    if (!open) close(connection, EventKind::connection_ended);
   }
 
-  static const char* verdict_of(const boost::json::object& answer, std::uint64_t trace) {
-    if (const auto* error = answer.if_contains("error"))
-      return error->as_object().at("code").as_int64() == -32001 ? "refused" : "failed";
-    const auto body =
-        from_base64(std::string_view(answer.at("result").as_object().at("content").as_string()));
-    if (!body) return "wrong";
-    const std::string one = hex(trace) + "\t0\trow\n";
-    const std::string three = one + hex(trace) + "\t1\trow\n" + hex(trace) + "\t2\trow\n";
-    return *body == one || *body == three ? "served" : "wrong";
+  void handle_line(ClientConnection& connection, std::string_view line) {
+    const auto answer = ClientAnswer::parse(line);
+    if (!answer) return;
+    const auto found = connection.open.find(answer->id());
+    if (found == connection.open.end()) {
+      log_.write({.kind = EventKind::answered,
+                  .at = monotonic_now(),
+                  .subject = connection.manager,
+                  .value = answer->id(),
+                  .port = connection.port,
+                  .detail = answer_detail::unknown_request});
+      return;
+    }
+    const OpenRequest open = found->second;
+    connection.open.erase(found);
+    record(EventKind::answered, connection, open, monotonic_now(), answer->detail(open.trace));
   }
 
-  void end(std::list<Seat>::iterator seat, EventKind kind) {
-    const char* how = seat->connection.was_reset() ? "reset" : "shutdown";
-    seat->connection.close();
+  /// Closes a connection, and records `kind` for each request that is open on it.
+  void close(ConnectionIterator connection, EventKind kind) {
+    const char* how = connection->connection.was_reset() ? end_detail::reset : end_detail::shutdown;
+    connection->connection.close();
     const std::int64_t now = monotonic_now();
-    for (const auto& [id, open] : seat->open) {
-      if (seat->unwritten.contains(id)) continue;  // it was never written whole
-      if (open.cancelled) continue;
-      log_.write({kind, now, open.trace, seat->manager, 0, open.asked, seat->port, false, how});
+    for (const auto& [id, open] : connection->open) {
+      const bool was_sent = !connection->unsent.contains(id);
+      if (was_sent && !open.cancelled) record(kind, *connection, open, now, how);
     }
-    seats_.erase(seat);
+    connections_.erase(connection);
   }
 
+  // ---- What happens by time ----
+
   void act_on_time() {
     const std::int64_t now = monotonic_now();
-    for (auto seat = seats_.begin(); seat != seats_.end();) {
-      const auto next = std::next(seat);
-      if (!seat->rest.empty() && now >= seat->rest_at) {
-        seat->connection.queue(std::exchange(seat->rest, {}));
-        seat->connection.flush();
-        written(*seat, seat->rest_id);
-      }
-      cancel_due(*seat, now);
-      give_up_due(*seat, now);
-      const bool rests = seat->open.empty() && seat->rest.empty() && !seat->silent;
-      if ((seat->leaves_at && now >= *seat->leaves_at && seat->rest.empty()) ||
-          (rests && now - seat->used > rest_life) || (finishing_ && seat->silent))
-        end(seat, EventKind::left);
-      seat = next;
+    for (auto connection = connections_.begin(); connection != connections_.end();) {
+      const auto next = std::next(connection);
+      if (connection->delayed_write && now >= connection->delayed_write->at) write_delayed(*connection);
+      cancel_due(*connection, now);
+      give_up_unanswered(*connection, now);
+      if (is_to_disconnect(*connection, now)) close(connection, EventKind::disconnected);
+      connection = next;
     }
   }
 
-  void cancel_due(Seat& seat, std::int64_t now) {
-    for (auto& [id, open] : seat.open) {
-      if (!open.cancels_at || now < *open.cancels_at || open.asked == 0 || open.cancelled) continue;
+  [[nodiscard]] bool is_to_disconnect(const ClientConnection& connection, std::int64_t now) const {
+    if (connection.stays_idle && finishing_) return true;
+    if (connection.disconnect_at && now >= *connection.disconnect_at && !connection.delayed_write)
+      return true;
+    return connection.is_idle() && !connection.stays_idle && now - connection.last_used > idle_timeout;
+  }
+
+  void cancel_due(ClientConnection& connection, std::int64_t now) {
+    for (auto& [id, open] : connection.open) {
+      if (!open.cancel_at || now < *open.cancel_at || open.sent == 0 || open.cancelled) continue;
       open.cancelled = true;
-      seat.connection.queue("{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{\"trace\":\"" +
-                            hex(open.trace) + "\"}}\n");
-      seat.connection.flush();
-      log_.write({EventKind::cancelled, monotonic_now(), open.trace, seat.manager, 0, open.asked, seat.port,
-                  false, ""});
+      write(connection, cancel_line(open.trace));
+      record(EventKind::cancelled, connection, open, monotonic_now());
     }
   }
 
-  void give_up_due(Seat& seat, std::int64_t now) {
-    std::erase_if(seat.open, [&](const auto& one) {
-      if (now < one.second.gives_up_at || one.second.asked == 0) return false;
-      if (!one.second.cancelled)
-        log_.write({EventKind::unanswered, now, one.second.trace, seat.manager, 0, one.second.asked,
-                    seat.port, false, ""});
+  void give_up_unanswered(ClientConnection& connection, std::int64_t now) {
+    std::erase_if(connection.open, [&](const auto& entry) {
+      const OpenRequest& open = entry.second;
+      if (now < open.unanswered_at || open.sent == 0) return false;
+      if (!open.cancelled) record(EventKind::unanswered, connection, open, now);
       return true;
     });
   }
@@ -323,10 +362,11 @@
   ClientOptions options_;
   EventWriter log_;
   std::mt19937_64 random_;
-  std::vector<bool> shunned_;
-  std::int64_t next_ask_, next_crowd_ = 0;
-  std::list<Seat> seats_;
-  std::string commands_, class_name_;
+  std::vector<bool> may_connect_;  // by manager
+  std::int64_t next_request_;
+  std::int64_t next_idle_connections_ = 0;
+  std::list<ClientConnection> connections_;
+  std::string commands_;  // read, not handled yet
   bool finishing_ = false;
 };
 
--- a/tests/faults/discovery.cpp
+++ b/tests/faults/discovery.cpp
@@ -5,26 +5,43 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cstdio>
 #include <utility>
 
-#include "event_log.hpp"
+#include "monotonic_clock.hpp"
 
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::int64_t heartbeat_period = 1'000'000'000;
-constexpr std::int64_t old_address_life = 1'500'000'000;
+constexpr std::int64_t heartbeat_period = 1 * second;
+constexpr std::int64_t old_connection_lifetime = 1500 * millisecond;  // after a move
 constexpr int tick_ms = 10;
 
 const char* lifecycle_of(EngineState state) {
-  return state == EngineState::ready ? "active" : state == EngineState::draining ? "leaving" : "left";
+  switch (state) {
+    case EngineState::ready: return "active";
+    case EngineState::draining: return "leaving";
+    default: return "left";
+  }
+}
+
+/// An engine in the "known" member of a configuration.
+std::string to_json(const discovery::Record& record) {
+  constexpr std::int64_t ns_per_ms = 1'000'000;
+  char instance_id[16];
+  std::snprintf(instance_id, sizeof(instance_id), "s-%08x", record.entry.engine);
+  return std::string("{\"instanceId\":\"") + instance_id + "\",\"hostPort\":\"" +
+         Endpoint{record.address, record.port}.text() +
+         "\",\"zone\":\"here\",\"machineType\":\"std\",\"cell\":0,\"lifecycle\":\"" +
+         lifecycle_of(record.entry.state) +
+         "\",\"weight\":1,\"startedAtMs\":" + std::to_string(record.entry.started.count() / ns_per_ms) + "}";
 }
 
 }  // namespace
 
-Discovery::Discovery(const Endpoint& first, const Endpoint& second, std::vector<discovery::Record> engines)
-    : at_{first, second} {
-  for (const discovery::Record& one : engines) engines_[one.entry.engine] = one;
+Discovery::Discovery(const Endpoint& first, const Endpoint& second, std::vector<discovery::Record> engines) {
+  addresses_ = {first, second};
+  for (const discovery::Record& record : engines) engines_[record.entry.engine] = record;
   events_.push_back({1, true, std::move(engines)});
   listeners_[0] = listen_on(first);
   thread_ = std::thread([this] { run(); });
@@ -40,9 +57,9 @@
 void Discovery::move() {
   const std::lock_guard lock(mutex_);
   const std::size_t next = 1 - served_;
-  listeners_[next] = listen_on(at_[next]);
+  listeners_[next] = listen_on(addresses_[next]);
   ::close(std::exchange(listeners_[served_], -1));
-  for (Watch& watch : watches_) watch.ends_at = monotonic_now() + old_address_life;
+  for (Watch& watch : watches_) watch.closes_at = monotonic_now() + old_connection_lifetime;
   served_ = next;
 }
 
@@ -59,32 +76,22 @@
 
 std::string Discovery::known() const {
   const std::lock_guard lock(mutex_);
-  const std::string last = std::to_string(events_.size());
-  std::string out = "{\"cursor\":" + last + ",\"cmds\":[{\"cursor\":" + last +
-                    ",\"nodes\":{\"generation\":1,\"reset\":true,\"instances\":[";
-  bool first = true;
-  for (const auto& [id, one] : engines_) {
-    if (one.entry.state == EngineState::removed) continue;
-    char text[16];
-    std::snprintf(text, sizeof(text), "s-%08x", id);
-    out += std::string(first ? "" : ",") + "{\"instanceId\":\"" + text + "\",\"hostPort\":\"" +
-           Endpoint{one.address, one.port}.text() +
-           "\",\"zone\":\"here\",\"machineType\":\"std\",\"cell\":0,\"lifecycle\":\"" +
-           lifecycle_of(one.entry.state) +
-           "\",\"weight\":1,\"startedAtMs\":" + std::to_string(one.entry.started.count() / 1'000'000) + "}";
-    first = false;
+  std::string engines;
+  for (const auto& [id, record] : engines_) {
+    if (record.entry.state == EngineState::removed) continue;
+    if (!engines.empty()) engines += ",";
+    engines += to_json(record);
   }
-  return out + "]}}]}";
+  const std::string last_event = std::to_string(events_.size());
+  return "{\"cursor\":" + last_event + ",\"cmds\":[{\"cursor\":" + last_event +
+         ",\"nodes\":{\"generation\":1,\"reset\":true,\"instances\":[" + engines + "]}}]}";
 }
 
 void Discovery::run() {
   while (!stopped_) {
     {
       const std::lock_guard lock(mutex_);
-      if (listeners_[served_] >= 0) {
-        const int socket = ::accept4(listeners_[served_], nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-        if (socket >= 0) watches_.push_back({Connection(socket), served_, {}});
-      }
+      accept_one();
       for (Watch& watch : watches_) serve(watch);
       std::erase_if(watches_, [](const Watch& watch) { return !watch.connection.open(); });
     }
@@ -92,25 +99,43 @@
   }
 }
 
+void Discovery::accept_one() {
+  if (listeners_[served_] < 0) return;
+  const int socket = ::accept4(listeners_[served_], nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  if (socket >= 0) watches_.push_back({Connection(socket), served_, {}});
+}
+
 void Discovery::serve(Watch& watch) {
   const std::int64_t now = monotonic_now();
-  if ((watch.ends_at != 0 && now >= watch.ends_at) || !watch.connection.read(watch.in))
-    return watch.connection.close();
-  if (!watch.subscribed && watch.in.size() >= 8) {
-    for (std::size_t i = 0; i < 8; ++i)
-      watch.told = watch.told << 8U | static_cast<unsigned char>(watch.in[i]);
-    watch.subscribed = true;
+  const bool expired = watch.closes_at != 0 && now >= watch.closes_at;
+  if (expired || !watch.connection.read(watch.input)) {
+    watch.connection.close();
+    return;
   }
+  read_subscription(watch);
   if (!watch.subscribed || watch.silent || watch.address != served_) return;
+  send_events(watch, now);
+}
+
+/// A manager sends the number of the last event it knows, big-endian.
+void Discovery::read_subscription(Watch& watch) {
+  constexpr std::size_t number_size = 8;
+  if (watch.subscribed || watch.input.size() < number_size) return;
+  for (std::size_t i = 0; i < number_size; ++i)
+    watch.last_event = watch.last_event << 8U | static_cast<unsigned char>(watch.input[i]);
+  watch.subscribed = true;
+}
+
+void Discovery::send_events(Watch& watch, std::int64_t now) {
   std::string bytes;
   for (const discovery::Event& event : events_) {
-    if (event.number <= watch.told) continue;
+    if (event.number <= watch.last_event) continue;
     discovery::put_event(bytes, event);
-    watch.told = event.number;
+    watch.last_event = event.number;
   }
-  if (now >= watch.beat_at) {
-    discovery::put_heartbeat(bytes, watch.told);
-    watch.beat_at = now + heartbeat_period;
+  if (now >= watch.next_heartbeat) {
+    discovery::put_heartbeat(bytes, watch.last_event);
+    watch.next_heartbeat = now + heartbeat_period;
   }
   watch.connection.queue(bytes);
   if (!watch.connection.flush()) watch.connection.close();
--- a/tests/faults/engine.cpp
+++ b/tests/faults/engine.cpp
@@ -1,4 +1,5 @@
-// One engine of a fault run.
+/// One engine of a fault run: it works on requests for some milliseconds, goes wrong at random, and records
+/// when attempts start and end by its own account.
 #include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -10,40 +11,64 @@
 #include <set>
 
 #include "event_log.hpp"
+#include "monotonic_clock.hpp"
 #include "processes.hpp"
 #include "protocol/engine_frames/frames.hpp"
 
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::int64_t millisecond = 1'000'000;
-constexpr double chance_full = 0.02, chance_error = 0.02, chance_reset = 0.01, chance_silent = 0.01,
-                 chance_spoilt = 0.005, chance_idle_close = 0.02, chance_pages = 0.1;
-// Of what the protocol lets an engine say about a request that has ended for it.
-constexpr double chance_over = 0.02, chance_copy = 0.05, chance_late_answer = 0.05, chance_unknown_page = 0.1;
-constexpr std::int64_t longest_copy_delay_ms = 40;
-constexpr unsigned deaf_step_us = 5000;
-constexpr std::int64_t least_work_ms = 2, max_work_ms = 60;
+using engine_frames::Command;
+using engine_frames::Frame;
+using engine_frames::Reply;
 
+// Probabilities at a fault scale of 1, for each answer.
+constexpr double full_probability = 0.02;
+constexpr double error_probability = 0.02;
+constexpr double no_answer_probability = 0.01;
+constexpr double reset_probability = 0.01;
+constexpr double corrupt_probability = 0.005;
+constexpr double idle_close_probability = 0.02;
+// Probabilities at a late frame scale of 1: what the protocol lets an engine say about a request that has
+// ended for it.
+constexpr double over_probability = 0.02;
+constexpr double duplicate_probability = 0.05;
+constexpr double late_answer_probability = 0.05;
+constexpr double unknown_page_probability = 0.1;
+// At any scale.
+constexpr double paged_probability = 0.1;
+
+constexpr std::int64_t max_duplicate_delay_ms = 40;
+constexpr std::int64_t min_work_ms = 2;
+constexpr std::int64_t max_work_ms = 60;
+constexpr std::int64_t max_poll_ms = 50;
+constexpr unsigned no_reading_step_us = 5000;
+
+/// A connection of a manager to this engine.
 struct Peer {
-  explicit Peer(Connection made) : connection(std::move(made)), frames(engine_frames::Side::manager) {}
+  explicit Peer(Connection accepted)
+      : connection(std::move(accepted)), frames(engine_frames::Side::manager) {}
   Connection connection;
   engine_frames::FrameReader frames;
   std::uint32_t number = 0;
-  std::map<std::uint64_t, std::uint32_t> pages;  // that a manager may still ask for, by request
-  std::multiset<std::uint64_t> out;  // requests whose end was not written yet
+  std::map<std::uint64_t, std::uint32_t> pages;  // that a manager may still request, by request
+  std::multiset<std::uint64_t> active;  // requests whose end has not been recorded
 };
 
-// A frame about a request that has ended, on its way.
+using PeerIterator = std::list<Peer>::iterator;
+
+/// A frame about a request that has ended.
 struct LateFrame {
-  std::list<Peer>::iterator peer;
-  engine_frames::Reply code{};
+  PeerIterator peer;
+  Reply code{};
   std::uint64_t trace{};
-  std::string fields, body;
+  std::string fields;
+  std::string body;
 };
 
-struct Due {
-  std::list<Peer>::iterator peer;
+/// An attempt that is worked on.
+struct PendingAnswer {
+  PeerIterator peer;
   std::uint64_t trace{};
 };
 
@@ -53,6 +78,8 @@
   return text;
 }
 
+bool is(const Frame& frame, Command command) { return frame.code == static_cast<std::uint8_t>(command); }
+
 class Engine {
  public:
   explicit Engine(const EngineOptions& options)
@@ -64,182 +91,189 @@
 
   [[noreturn]] void run() {
     for (;;) {
-      wait();
+      if (options_.stops_reading_while_hanging && hangs()) {
+        skip_reading();
+      } else {
+        poll_input();
+      }
       answer_due();
       send_late_frames();
     }
   }
 
  private:
-  bool chance(double share) {
-    return std::uniform_real_distribution<double>(0, 1)(random_) < share * options_.trouble;
+  // ---- Random draws; their order is part of the plan of a seed. ----
+
+  bool draw_fault(double probability) { return draw_uniform() < probability * options_.fault_scale; }
+  bool draw_late_frame(double probability) {
+    return draw_uniform() < probability * options_.late_frame_scale;
   }
-  bool chance_late(double share) {
-    return std::uniform_real_distribution<double>(0, 1)(random_) < share * options_.late;
+  double draw_uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  /// A whole number of milliseconds, in nanoseconds.
+  std::int64_t draw_ms(std::int64_t least, std::int64_t most) {
+    return std::uniform_int_distribution<std::int64_t>(least, most)(random_) * millisecond;
   }
+
   [[nodiscard]] bool hangs() const {
-    const double now = static_cast<double>(monotonic_now() - began_) * 1e-9;
-    return now >= options_.hang_from_s && now < options_.hang_until_s;
+    const double elapsed_s = static_cast<double>(monotonic_now() - began_) * 1e-9;
+    return elapsed_s >= options_.hang_from_s && elapsed_s < options_.hang_until_s;
   }
 
-  void wait() {
-    if (options_.deaf && hangs()) {
-      if (!was_deaf_) log_.write({EventKind::deaf, monotonic_now(), 0, options_.number, 0, 0, 0, false, ""});
-      was_deaf_ = true;
-      ::usleep(deaf_step_us);
-      return;
+  // ---- Input ----
+
+  void skip_reading() {
+    if (!skipped_reading_) {
+      log_.write(
+          {.kind = EventKind::engine_stopped_reading, .at = monotonic_now(), .subject = options_.number});
     }
-    std::vector<pollfd> all{{listener_, POLLIN, 0}};
-    std::vector<std::list<Peer>::iterator> order;
+    skipped_reading_ = true;
+    ::usleep(no_reading_step_us);
+  }
+
+  void poll_input() {
+    std::vector<pollfd> polled{{listener_, POLLIN, 0}};
+    std::vector<PeerIterator> order;
     for (auto peer = peers_.begin(); peer != peers_.end(); ++peer) {
-      const auto writes = static_cast<short>(peer->connection.wants_to_write() ? POLLOUT : 0);
-      all.push_back({peer->connection.socket(), static_cast<short>(POLLIN | writes), 0});
+      const auto output = static_cast<short>(peer->connection.wants_to_write() ? POLLOUT : 0);
+      polled.push_back({peer->connection.socket(), static_cast<short>(POLLIN | output), 0});
       order.push_back(peer);
     }
-    std::int64_t rest_ms = 50;
-    const auto heed = [&](std::int64_t due) {
-      rest_ms = std::min(rest_ms, std::clamp<std::int64_t>((due - monotonic_now()) / millisecond + 1, 0, 50));
-    };
-    if (!due_.empty()) heed(due_.begin()->first);
-    if (!late_.empty()) heed(late_.begin()->first);
-    ::poll(all.data(), all.size(), static_cast<int>(rest_ms));
-    if ((all[0].revents & POLLIN) != 0) accept_one();
+    ::poll(polled.data(), polled.size(), static_cast<int>(poll_timeout_ms()));
+    if ((polled[0].revents & POLLIN) != 0) accept_one();
     for (std::size_t i = 0; i < order.size(); ++i) {
-      const short events = all[i + 1].revents;
-      if (events != 0 && !serve(*order[i], order[i], events)) drop(order[i]);
+      const short events = polled[i + 1].revents;
+      if (events != 0 && !serve(order[i], events)) drop(order[i]);
     }
-    was_deaf_ = false;
+    skipped_reading_ = false;
+  }
+
+  /// Until the next answer or late frame is due.
+  [[nodiscard]] std::int64_t poll_timeout_ms() const {
+    std::int64_t timeout_ms = max_poll_ms;
+    const auto limit_to = [&](std::int64_t due) {
+      const std::int64_t until_due_ms = (due - monotonic_now()) / millisecond + 1;
+      timeout_ms = std::min(timeout_ms, std::clamp<std::int64_t>(until_due_ms, 0, max_poll_ms));
+    };
+    if (!pending_answers_.empty()) limit_to(pending_answers_.begin()->first);
+    if (!late_frames_.empty()) limit_to(late_frames_.begin()->first);
+    return timeout_ms;
   }
 
   void accept_one() {
     const int socket = ::accept4(listener_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (socket < 0) return;
-    const int one = 1;
-    ::setsockopt(socket, SOL_SOCKET, SO_TIMESTAMPNS, &one, sizeof(one));
+    const int enable = 1;
+    ::setsockopt(socket, SOL_SOCKET, SO_TIMESTAMPNS, &enable, sizeof(enable));
     peers_.emplace_back(Connection(socket)).number = ++last_peer_;
   }
 
-  void drop(std::list<Peer>::iterator peer) {
-    std::erase_if(due_, [&](const auto& one) { return one.second.peer == peer; });
-    std::erase_if(late_, [&](const auto& one) { return one.second.peer == peer; });
-    while (!peer->out.empty()) end_attempt(*peer, *peer->out.begin(), monotonic_now(), "closed");
+  void drop(PeerIterator peer) {
+    std::erase_if(pending_answers_, [&](const auto& entry) { return entry.second.peer == peer; });
+    std::erase_if(late_frames_, [&](const auto& entry) { return entry.second.peer == peer; });
+    while (!peer->active.empty())
+      end_attempt(*peer, *peer->active.begin(), monotonic_now(), attempt_detail::closed);
     peers_.erase(peer);
   }
 
-  bool serve(Peer& peer, std::list<Peer>::iterator place, short events) {
-    if ((events & POLLOUT) != 0 && !peer.connection.flush()) return false;
+  /// False: the connection has ended, or its bytes are no frames.
+  bool serve(PeerIterator peer, short events) {
+    if ((events & POLLOUT) != 0 && !peer->connection.flush()) return false;
     if ((events & (POLLIN | POLLHUP | POLLERR)) == 0) return true;
-    std::string in;
-    std::int64_t came = 0;
-    const bool open = peer.connection.read_with_time(in, came);
-    peer.frames.feed(in);
-    std::vector<engine_frames::Frame> frames;
-    auto next = peer.frames.next();
-    for (; std::holds_alternative<engine_frames::Frame>(next); next = peer.frames.next())
-      frames.push_back(std::move(std::get<engine_frames::Frame>(next)));
+    std::string input;
+    std::int64_t received_at = 0;
+    const bool open = peer->connection.read_with_time(input, received_at);
+    peer->frames.feed(input);
+    std::vector<Frame> frames;
+    auto next = peer->frames.next();
+    for (; std::holds_alternative<Frame>(next); next = peer->frames.next())
+      frames.push_back(std::move(std::get<Frame>(next)));
     const bool usable = open && !std::holds_alternative<engine_frames::Broken>(next);
     for (std::size_t i = 0; i < frames.size(); ++i)
-      if (!over_already(frames, i, usable)) take(peer, place, frames[i], came);
+      if (!ended_before_read(frames, i, usable)) handle(peer, frames[i], received_at);
     return usable;
   }
 
-  // A request that came with its cancel, or with the end of its connection, was given up before it was read.
-  static bool over_already(const std::vector<engine_frames::Frame>& frames, std::size_t which, bool usable) {
-    const auto is = [](const engine_frames::Frame& frame, engine_frames::Command command) {
-      return frame.code == static_cast<std::uint8_t>(command);
-    };
-    if (!is(frames[which], engine_frames::Command::request)) return false;
-    return !usable ||
-           std::any_of(frames.begin() + static_cast<std::ptrdiff_t>(which) + 1, frames.end(),
-                       [&](const engine_frames::Frame& later) {
-                         return later.id == frames[which].id && is(later, engine_frames::Command::give_up);
-                       });
+  /// A request that arrived with its cancel, or with its connection's end, was cancelled before it was read.
+  static bool ended_before_read(const std::vector<Frame>& frames, std::size_t index, bool usable) {
+    const Frame& frame = frames[index];
+    if (!is(frame, Command::request)) return false;
+    if (!usable) return true;
+    const auto after = frames.begin() + static_cast<std::ptrdiff_t>(index) + 1;
+    return std::any_of(after, frames.end(), [&](const Frame& later) {
+      return later.id == frame.id && is(later, Command::give_up);
+    });
   }
 
-  void take(Peer& peer, std::list<Peer>::iterator place, const engine_frames::Frame& frame,
-            std::int64_t came) {
-    switch (static_cast<engine_frames::Command>(frame.code)) {
-      case engine_frames::Command::request: return begin(place, frame, came);
-      case engine_frames::Command::ping:
-        if (!hangs()) reply(peer, engine_frames::Reply::well, frame.id, "", "");
-        return;
-      case engine_frames::Command::status:
-        if (!hangs()) reply(peer, engine_frames::Reply::well, frame.id, "gauges=inflight:1", "");
-        return;
-      case engine_frames::Command::page: {
-        const auto page = engine_frames::count_in(frame.fields);
-        const auto known = peer.pages.find(frame.id);
-        if (!page || known == peer.pages.end() || hangs()) return;
-        if (chance_late(chance_unknown_page))
-          return reply(peer, engine_frames::Reply::error, frame.id, "", "");
-        return reply(peer, engine_frames::Reply::page, frame.id, "part_no=" + std::to_string(*page),
-                     page_of(frame.id, *page));
-      }
-      case engine_frames::Command::give_up:
-        end_attempt(peer, frame.id, came, "cancelled");
-        // What is on its way already comes all the same.
-        if (!chance_late(chance_late_answer))
-          std::erase_if(due_, [&](const auto& one) {
-            return one.second.peer == place && one.second.trace == frame.id;
-          });
-        return;
-      case engine_frames::Command::no_more: peer.pages.erase(frame.id); return;
-      case engine_frames::Command::priority: return;
+  // ---- Frames ----
+
+  void handle(PeerIterator peer, const Frame& frame, std::int64_t received_at) {
+    switch (static_cast<Command>(frame.code)) {
+      case Command::request: start_attempt(peer, frame, received_at); break;
+      case Command::ping: answer_health(*peer, frame, ""); break;
+      case Command::status: answer_health(*peer, frame, "gauges=inflight:1"); break;
+      case Command::page: answer_page(*peer, frame); break;
+      case Command::give_up: cancel_attempt(peer, frame.id, received_at); break;
+      case Command::no_more: peer->pages.erase(frame.id); break;
+      case Command::priority: break;
+    }
+  }
+
+  void answer_health(Peer& peer, const Frame& frame, std::string_view fields) {
+    if (!hangs()) reply(peer, Reply::well, frame.id, fields, "");
+  }
+
+  void answer_page(Peer& peer, const Frame& frame) {
+    const auto page = engine_frames::count_in(frame.fields);
+    const auto known = peer.pages.find(frame.id);
+    if (!page || known == peer.pages.end() || hangs()) return;
+    if (draw_late_frame(unknown_page_probability)) {
+      reply(peer, Reply::error, frame.id, "", "");
+      return;
     }
+    reply(peer, Reply::page, frame.id, "part_no=" + std::to_string(*page), page_of(frame.id, *page));
   }
 
-  void begin(std::list<Peer>::iterator place, const engine_frames::Frame& frame, std::int64_t came) {
+  void cancel_attempt(PeerIterator peer, std::uint64_t trace, std::int64_t received_at) {
+    end_attempt(*peer, trace, received_at, attempt_detail::cancelled);
+    if (draw_late_frame(late_answer_probability)) return;  // the answer is sent all the same
+    std::erase_if(pending_answers_, [&](const auto& entry) {
+      return entry.second.peer == peer && entry.second.trace == trace;
+    });
+  }
+
+  void start_attempt(PeerIterator peer, const Frame& frame, std::int64_t received_at) {
+    const auto granted_ms = engine_frames::field(frame.fields, "ms").value_or("0");
     RunEvent event;
-    event.kind = EventKind::begun;
-    event.at = came;
+    event.kind = EventKind::attempt_started;
+    event.at = received_at;
     event.trace = frame.id;
     event.subject = options_.number;
-    event.value = engine_frames::count_in(engine_frames::field(frame.fields, "ms").value_or("0")).value_or(0);
-    // What it did not read for long came at some time unknown: no deadline can be held against that.
-    if (was_deaf_) event.value = 0;
+    // What was not read for long arrived at an unknown time: no grant can be judged by it.
+    event.value = skipped_reading_ ? 0 : engine_frames::count_in(granted_ms).value_or(0);
     event.detail = engine_frames::field(frame.fields, "kind").value_or("?");
-    event.port = place->number;
+    event.port = peer->number;
     log_.write(event);
-    place->out.insert(frame.id);
-    const auto work = std::uniform_int_distribution<std::int64_t>(least_work_ms, max_work_ms)(random_);
-    due_.emplace(monotonic_now() + work * millisecond, Due{place, frame.id});
+    peer->active.insert(frame.id);
+    const std::int64_t work = draw_ms(min_work_ms, max_work_ms);
+    pending_answers_.emplace(monotonic_now() + work, PendingAnswer{peer, frame.id});
   }
 
-  // By this engine's account; a request that it does not have out has ended before.
+  /// By this engine's account; a request without an active attempt has ended before.
   void end_attempt(Peer& peer, std::uint64_t trace, std::int64_t at, const char* how) {
-    const auto found = peer.out.find(trace);
-    if (found == peer.out.end()) return;
-    peer.out.erase(found);
-    RunEvent event;
-    event.kind = EventKind::attempt_ended;
-    event.at = at;
-    event.trace = trace;
-    event.subject = options_.number;
-    event.port = peer.number;
-    event.detail = how;
-    log_.write(event);
-  }
-
-  // Its final answer, and perhaps a copy behind it.
-  void finish(std::list<Peer>::iterator place, engine_frames::Reply code, std::uint64_t trace,
-              const std::string& fields = "", const std::string& body = "") {
-    end_attempt(*place, trace, monotonic_now(), "answered");
-    reply(*place, code, trace, fields, body);
-    if (!chance_late(chance_copy)) return;
-    const auto delay = std::uniform_int_distribution<std::int64_t>(0, longest_copy_delay_ms)(random_);
-    late_.emplace(monotonic_now() + delay * millisecond, LateFrame{place, code, trace, fields, body});
+    const auto found = peer.active.find(trace);
+    if (found == peer.active.end()) return;
+    peer.active.erase(found);
+    log_.write({.kind = EventKind::attempt_ended,
+                .at = at,
+                .trace = trace,
+                .subject = options_.number,
+                .port = peer.number,
+                .detail = how});
   }
 
-  void send_late_frames() {
-    while (!late_.empty() && late_.begin()->first <= monotonic_now()) {
-      const LateFrame late = std::move(late_.begin()->second);
-      late_.erase(late_.begin());
-      reply(*late.peer, late.code, late.trace, late.fields, late.body);
-    }
-  }
+  // ---- Answers ----
 
-  void reply(Peer& peer, engine_frames::Reply code, std::uint64_t id, std::string_view fields,
-             std::string_view body) {
+  void reply(Peer& peer, Reply code, std::uint64_t id, std::string_view fields, std::string_view body) {
     std::string bytes;
     engine_frames::put_frame(bytes, engine_frames::Side::engine, static_cast<std::uint8_t>(code), id, fields,
                              body);
@@ -247,53 +281,84 @@
     peer.connection.flush();  // its end is found by the next poll
   }
 
+  /// The final answer, and perhaps a duplicate some time after it.
+  void finish_attempt(PeerIterator peer, Reply code, std::uint64_t trace, const std::string& fields = "",
+                      const std::string& body = "") {
+    end_attempt(*peer, trace, monotonic_now(), attempt_detail::answered);
+    reply(*peer, code, trace, fields, body);
+    if (!draw_late_frame(duplicate_probability)) return;
+    const std::int64_t delay = draw_ms(0, max_duplicate_delay_ms);
+    late_frames_.emplace(monotonic_now() + delay, LateFrame{peer, code, trace, fields, body});
+  }
+
+  void send_late_frames() {
+    while (!late_frames_.empty() && late_frames_.begin()->first <= monotonic_now()) {
+      const LateFrame late = std::move(late_frames_.begin()->second);
+      late_frames_.erase(late_frames_.begin());
+      reply(*late.peer, late.code, late.trace, late.fields, late.body);
+    }
+  }
+
   void answer_due() {
     if (hangs()) return;
-    while (!due_.empty() && due_.begin()->first <= monotonic_now()) {
-      const Due due = due_.begin()->second;
-      due_.erase(due_.begin());
-      answer(due);
+    while (!pending_answers_.empty() && pending_answers_.begin()->first <= monotonic_now()) {
+      const PendingAnswer pending = pending_answers_.begin()->second;
+      pending_answers_.erase(pending_answers_.begin());
+      answer(pending);
     }
   }
 
-  void answer(const Due& due) {
-    Peer& peer = *due.peer;
-    if (chance(chance_full)) {
-      log_.write({EventKind::rejected, monotonic_now(), due.trace, options_.number, 0, 0, 0, false, ""});
-      return finish(due.peer, engine_frames::Reply::full, due.trace);
-    }
-    if (chance_late(chance_over)) {
-      log_.write({EventKind::rejected, monotonic_now(), due.trace, options_.number, 0, 0, 0, false, ""});
-      return finish(due.peer, engine_frames::Reply::over, due.trace);
-    }
-    if (chance(chance_error)) {
-      finish(due.peer, engine_frames::Reply::error, due.trace);
-      // It failed here, and its answer comes all the same.
-      if (chance_late(chance_late_answer))
-        late_.emplace(monotonic_now(), LateFrame{due.peer, engine_frames::Reply::ok, due.trace,
-                                                 "parts=1,work=5,peak=10", page_of(due.trace, 0)});
+  void answer(const PendingAnswer& pending) {
+    if (draw_fault(full_probability)) {
+      reject(pending, Reply::full);
+    } else if (draw_late_frame(over_probability)) {
+      reject(pending, Reply::over);
+    } else if (draw_fault(error_probability)) {
+      answer_error(pending);
+    } else if (draw_fault(no_answer_probability)) {
       return;
+    } else if (draw_fault(reset_probability)) {
+      pending.peer->connection.reset();
+      drop(pending.peer);
+    } else if (draw_fault(corrupt_probability)) {
+      pending.peer->connection.queue("\x81noise that is no frame, and goes on for some time");
+      pending.peer->connection.flush();
+    } else {
+      answer_result(pending);
     }
-    if (chance(chance_silent)) return;
-    if (chance(chance_reset)) {
-      peer.connection.reset();
-      return drop(due.peer);
-    }
-    if (chance(chance_spoilt)) {
-      peer.connection.queue("\x81noise that is no frame, and goes on for some time");
-      peer.connection.flush();
-      return;
-    }
-    const bool paged = std::uniform_real_distribution<double>(0, 1)(random_) < chance_pages;
-    const std::uint32_t pages = paged ? 3 : 1;
-    if (paged) peer.pages[due.trace] = pages;
-    finish(due.peer, engine_frames::Reply::ok, due.trace,
-           "parts=" + std::to_string(pages) + ",work=5,peak=10", page_of(due.trace, 0));
-    if (chance(chance_idle_close) &&
-        std::none_of(due_.begin(), due_.end(),
-                     [&](const auto& one) { return one.second.peer == due.peer; }) &&
-        !paged)
-      drop(due.peer);
+  }
+
+  void reject(const PendingAnswer& pending, Reply code) {
+    log_.write({.kind = EventKind::attempt_rejected,
+                .at = monotonic_now(),
+                .trace = pending.trace,
+                .subject = options_.number});
+    finish_attempt(pending.peer, code, pending.trace);
+  }
+
+  /// The attempt fails, and perhaps its result is sent all the same.
+  void answer_error(const PendingAnswer& pending) {
+    finish_attempt(pending.peer, Reply::error, pending.trace);
+    if (!draw_late_frame(late_answer_probability)) return;
+    late_frames_.emplace(monotonic_now(), LateFrame{pending.peer, Reply::ok, pending.trace,
+                                                    "parts=1,work=5,peak=10", page_of(pending.trace, 0)});
+  }
+
+  /// The result, of one page or more; perhaps the connection is closed behind it, if nothing else is pending.
+  void answer_result(const PendingAnswer& pending) {
+    constexpr std::uint32_t many_pages = 3;
+    const bool paged = draw_uniform() < paged_probability;
+    const std::uint32_t pages = paged ? many_pages : 1;
+    if (paged) pending.peer->pages[pending.trace] = pages;
+    finish_attempt(pending.peer, Reply::ok, pending.trace,
+                   "parts=" + std::to_string(pages) + ",work=5,peak=10", page_of(pending.trace, 0));
+    const bool closes = draw_fault(idle_close_probability);
+    if (closes && !paged && !has_pending_answers(pending.peer)) drop(pending.peer);
+  }
+
+  [[nodiscard]] bool has_pending_answers(PeerIterator peer) const {
+    return std::any_of(pending_answers_.begin(), pending_answers_.end(),
+                       [&](const auto& entry) { return entry.second.peer == peer; });
   }
 
   EngineOptions options_;
@@ -302,11 +367,11 @@
   int listener_;
   std::int64_t began_;
   std::list<Peer> peers_;
-  std::multimap<std::int64_t, Due> due_;
-  std::multimap<std::int64_t, LateFrame> late_;
-  // Other than those of the engine's earlier processes.
+  std::multimap<std::int64_t, PendingAnswer> pending_answers_;  // by the time at which they are due
+  std::multimap<std::int64_t, LateFrame> late_frames_;  // by the time at which they are due
+  // Starts at a number that differs from those of the engine's earlier processes.
   std::uint32_t last_peer_ = (static_cast<std::uint32_t>(::getpid()) & 0x7fffU) << 16U;
-  bool was_deaf_ = false;
+  bool skipped_reading_ = false;
 };
 
 }  // namespace
--- a/tests/faults/event_log.cpp
+++ b/tests/faults/event_log.cpp
@@ -1,18 +1,11 @@
 #include "event_log.hpp"
 
-#include <ctime>
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
 
 namespace paddlestand::faults {
 
-std::int64_t monotonic_now() {
-  timespec now{};
-  ::clock_gettime(CLOCK_MONOTONIC, &now);
-  return static_cast<std::int64_t>(now.tv_sec) * 1'000'000'000 + now.tv_nsec;
-}
-
 EventWriter::EventWriter(const std::string& path) : file_(std::fopen(path.c_str(), "a")) {
   if (file_ == nullptr) throw std::runtime_error(path + ": can't be written");
 }
@@ -34,7 +27,8 @@
   while (std::getline(file, line)) {
     std::istringstream fields(line);
     RunEvent event;
-    int kind = 0, first = 0;
+    int kind = 0;
+    int first = 0;
     std::string end;
     fields >> kind >> event.at >> std::hex >> event.trace >> std::dec >> event.subject >> event.value >>
         event.began >> event.port >> first >> event.detail >> end;
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -1,4 +1,5 @@
-// The fault tests: real processes on loopback, with failing system calls, signals and misbehaving peers.
+/// fault_runs: fault tests over real processes on loopback, with failing system calls, signals and
+/// misbehaving peers. `run` plays a profile; it starts `engine` and `clients` from this same program.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -10,77 +11,101 @@
 
 using namespace paddlestand::faults;
 
-int run_all(RunOptions options, std::uint64_t seeds) {
-  int failed = 0;
+struct EngineCommand {
+  std::string listen;
+  EngineOptions options;
+};
+
+struct ClientsCommand {
+  std::vector<std::string> managers;
+  ClientOptions options;
+};
+
+struct RunCommand {
+  RunOptions options;
+  std::uint64_t seeds = 1;
+};
+
+int run_all(const RunCommand& command) {
+  RunOptions options = command.options;
   const std::uint64_t first = options.seed;
-  for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
+  int failed = 0;
+  for (std::uint64_t seed = first; seed < first + command.seeds; ++seed) {
     options.seed = seed;
-    failed += run_once(options) == 0 ? 0 : 1;
+    if (run_once(options) != 0) ++failed;
   }
-  if (seeds > 1) std::cout << seeds << " seeds, " << failed << " failed\n";
+  if (command.seeds > 1) std::cout << command.seeds << " seeds, " << failed << " failed\n";
   return failed == 0 ? 0 : 1;
 }
 
+void add_engine_command(CLI::App& app, EngineCommand& command, int& exit_code) {
+  EngineOptions& options = command.options;
+  auto* subcommand = app.add_subcommand("engine", "One engine (started by a run)");
+  subcommand->add_option("--listen", command.listen)->required();
+  subcommand->add_option("--log", options.log)->required();
+  subcommand->add_option("--number", options.number);
+  subcommand->add_option("--seed", options.seed);
+  subcommand->add_option("--trouble", options.fault_scale);
+  subcommand->add_option("--late", options.late_frame_scale);
+  subcommand->add_option("--hang-from", options.hang_from_s);
+  subcommand->add_option("--hang-until", options.hang_until_s);
+  subcommand->add_flag("--deaf,!--hears", options.stops_reading_while_hanging);
+  subcommand->callback([&] {
+    command.options.listen = parse_endpoint(command.listen);
+    exit_code = run_engine(command.options);
+  });
+}
+
+void add_clients_command(CLI::App& app, ClientsCommand& command, int& exit_code) {
+  ClientOptions& options = command.options;
+  auto* subcommand = app.add_subcommand("clients", "Some clients (started by a run)");
+  subcommand->add_option("--managers", command.managers)->delimiter(',')->required();
+  subcommand->add_option("--log", options.log)->required();
+  subcommand->add_option("--number", options.number);
+  subcommand->add_option("--seed", options.seed);
+  subcommand->add_option("--rate", options.requests_per_s);
+  subcommand->add_option("--idle", options.idle_connections);
+  subcommand->add_flag("--misbehave,!--behave", options.misbehaves);
+  subcommand->callback([&] {
+    for (const std::string& manager : command.managers)
+      command.options.managers.push_back(parse_endpoint(manager));
+    exit_code = run_clients(command.options);
+  });
+}
+
+void add_run_command(CLI::App& app, RunCommand& command, const char* self, int& exit_code) {
+  RunOptions& options = command.options;
+  options.self = self;
+  auto* subcommand = app.add_subcommand("run", "Runs a profile, once for each seed");
+  subcommand->add_option("profile", options.profile)->required();
+  subcommand->add_option("--programs", options.programs, "Where `paddlestand` is")->required();
+  subcommand->add_option("--faults", options.fault_library, "The library to preload")->required();
+  subcommand->add_option("--seed", options.seed, "The first seed");
+  subcommand->add_option("--seeds", command.seeds, "How many");
+  subcommand->add_option("--seconds", options.seconds);
+  subcommand->add_flag("--keep", options.keep_logs, "Keep the logs");
+  subcommand->callback([&] { exit_code = run_all(command); });
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
+  constexpr int usage_error = 2;
   ::signal(SIGPIPE, SIG_IGN);
   CLI::App app{"Fault runs over real processes"};
   app.require_subcommand(1);
-  int result = 0;
-
-  std::string listen;
-  EngineOptions engine;
-  auto* engine_command = app.add_subcommand("engine", "One engine (started by a run)");
-  engine_command->add_option("--listen", listen)->required();
-  engine_command->add_option("--log", engine.log)->required();
-  engine_command->add_option("--number", engine.number);
-  engine_command->add_option("--seed", engine.seed);
-  engine_command->add_option("--trouble", engine.trouble);
-  engine_command->add_option("--late", engine.late);
-  engine_command->add_option("--hang-from", engine.hang_from_s);
-  engine_command->add_option("--hang-until", engine.hang_until_s);
-  engine_command->add_flag("--deaf,!--hears", engine.deaf);
-  engine_command->callback([&] {
-    engine.listen = parse_endpoint(listen);
-    result = run_engine(engine);
-  });
-
-  std::vector<std::string> managers;
-  ClientOptions clients;
-  auto* clients_command = app.add_subcommand("clients", "Some clients (started by a run)");
-  clients_command->add_option("--managers", managers)->delimiter(',')->required();
-  clients_command->add_option("--log", clients.log)->required();
-  clients_command->add_option("--number", clients.number);
-  clients_command->add_option("--seed", clients.seed);
-  clients_command->add_option("--rate", clients.requests_per_s);
-  clients_command->add_option("--idle", clients.idle_connections);
-  clients_command->add_flag("--misbehave,!--behave", clients.misbehaves);
-  clients_command->callback([&] {
-    for (const std::string& one : managers) clients.managers.push_back(parse_endpoint(one));
-    result = run_clients(clients);
-  });
-
-  RunOptions run;
-  std::uint64_t seeds = 1;
-  auto* run_command = app.add_subcommand("run", "Runs a profile, once for each seed");
-  run_command->add_option("profile", run.profile)->required();
-  run_command->add_option("--programs", run.programs, "Where `paddlestand` is")->required();
-  run_command->add_option("--faults", run.fault_library, "The library to preload")->required();
-  run_command->add_option("--seed", run.seed, "The first seed");
-  run_command->add_option("--seeds", seeds, "How many");
-  run_command->add_option("--seconds", run.seconds);
-  run_command->add_flag("--keep", run.keep, "Keep the logs");
-  run_command->callback([&] {
-    run.self = argv[0];
-    result = run_all(run, seeds);
-  });
-
+  int exit_code = 0;
+  EngineCommand engine;
+  ClientsCommand clients;
+  RunCommand run;
+  add_engine_command(app, engine, exit_code);
+  add_clients_command(app, clients, exit_code);
+  add_run_command(app, run, argv[0], exit_code);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) { return app.exit(error); } catch (const std::exception& error) {
     std::cerr << "fault_runs: " << error.what() << "\n";
-    return 2;
+    return usage_error;
   }
-  return result;
+  return exit_code;
 }
--- /dev/null
+++ b/tests/faults/manager_config.hpp
@@ -0,0 +1,28 @@
+/// The configuration file of a manager in a fault run.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "monotonic_clock.hpp"
+#include "sockets.hpp"
+
+namespace paddlestand::faults {
+
+/// Of every request class.
+constexpr std::int64_t longest_deadline = 1200 * millisecond;
+
+/// What differs between the managers of a run, and between two configurations of one.
+struct ManagerConfig {
+  std::uint32_t number = 0;
+  std::uint32_t manager_count = 1;
+  std::uint64_t run_seed = 1;
+  Endpoint listen;
+  Endpoint discovery;
+  std::string known_engines;  // JSON, see Discovery::known()
+};
+
+/// The file's content, in the platform's format.
+std::string to_json(const ManagerConfig& config);
+
+}  // namespace paddlestand::faults
--- a/tests/faults/profiles.cpp
+++ b/tests/faults/profiles.cpp
@@ -5,21 +5,22 @@
 namespace paddlestand::faults {
 namespace {
 
-Profile calm(const std::string& name, std::vector<std::string> rules) {
+/// Nothing but failing calls, by `rules`.
+Profile call_faults_only(const std::string& name, std::vector<std::string> rules) {
   Profile profile;
   profile.name = name;
-  profile.rules = std::move(rules);
+  profile.call_fault_rules = std::move(rules);
   return profile;
 }
 
-// Of each family of faults a part, overlapping, with chances that differ from run to run.
+/// About half of the faults of all calls, overlapping, with probabilities that differ from run to run.
 std::string mixed_rules(std::mt19937_64& random) {
-  const auto share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
+  const auto uniform = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
   std::string rules;
   const auto add = [&](const char* rule, double least, double most, const char* window = "") {
-    if (share() < 0.5) return;
-    const double chance = least + (most - least) * share();
-    rules += std::string(rule) + " " + std::to_string(chance) + " " + window + ";";
+    if (uniform() < 0.5) return;
+    const double probability = least + (most - least) * uniform();
+    rules += std::string(rule) + " " + std::to_string(probability) + " " + window + ";";
   };
   add("recv EINTR", 0.002, 0.05);
   add("recv ENOMEM", 0.001, 0.01);
@@ -52,84 +53,128 @@
   return rules;
 }
 
-Profile soak(std::mt19937_64& random) {
-  const auto either = [&](double share) {
-    return std::uniform_real_distribution<double>(0, 1)(random) < share;
+Profile soak(const std::string& name, std::mt19937_64& random) {
+  const auto with_probability = [&](double probability) {
+    return std::uniform_real_distribution<double>(0, 1)(random) < probability;
   };
   Profile profile;
-  profile.name = "soak";
+  profile.name = name;
   profile.managers = 8;
   profile.engines = 16;
   profile.clients = 8;
-  profile.trouble = either(0.7) ? 1 : 0;
-  profile.late = either(0.7) ? 1 : 0;
-  profile.crowd = either(0.2) ? 12 : 0;
-  profile.clients_misbehave = either(0.8);
-  profile.rolls = either(0.8);
-  profile.kills = either(0.4);
-  profile.reloads = either(0.7);
-  profile.stops = either(0.4);
-  profile.drains = either(0.6);
-  profile.hangs = either(0.4);
-  profile.silence = either(0.4);
-  for (int i = 0; i < 8; ++i) profile.rules.push_back(mixed_rules(random));
+  profile.engine_fault_scale = with_probability(0.7) ? 1 : 0;
+  profile.late_frame_scale = with_probability(0.7) ? 1 : 0;
+  profile.idle_connections = with_probability(0.2) ? 12 : 0;
+  profile.clients_misbehave = with_probability(0.8);
+  profile.managers_roll = with_probability(0.8);
+  profile.managers_crash = with_probability(0.4);
+  profile.configurations_reload = with_probability(0.7);
+  profile.managers_pause = with_probability(0.4);
+  profile.engines_drain = with_probability(0.6);
+  profile.engines_hang = with_probability(0.4);
+  profile.discovery_falls_silent = with_probability(0.4);
+  for (std::uint32_t i = 0; i < profile.managers; ++i)
+    profile.call_fault_rules.push_back(mixed_rules(random));
+  return profile;
+}
+
+Profile calm(const std::string& name, std::mt19937_64&) { return call_faults_only(name, {""}); }
+
+Profile receive(const std::string& name, std::mt19937_64&) {
+  return call_faults_only(name, {"recv EINTR 0.02; recv ENOMEM 0.005"});
+}
+
+Profile send(const std::string& name, std::mt19937_64&) {
+  return call_faults_only(name, {"send EINTR 0.02; send ENOBUFS 0.02"});
+}
+
+Profile start(const std::string& name, std::mt19937_64&) {
+  return call_faults_only(name, {"socket ENFILE 1 0 1", "bind ENOMEM 1 0 1", "listen ENOBUFS 1 0 1",
+                                 "open ENFILE 1 0 1", "setsockopt ENOBUFS 1 0 1"});
+}
+
+Profile connect(const std::string& name, std::mt19937_64&) {
+  Profile profile = call_faults_only(
+      name, {"connect EADDRNOTAVAIL 0.2; connect ENETUNREACH 0.1; connect EINTR 0.1; socket ENFILE 0.15;"
+             "socket ENOBUFS 1 3 3.3"});
+  profile.engine_fault_scale = 1;
+  return profile;
+}
+
+Profile accept(const std::string& name, std::mt19937_64&) {
+  Profile profile =
+      call_faults_only(name, {"accept ECONNABORTED 0.3; accept EMFILE 0.1; accept ENFILE 1 2 2.4"});
+  profile.clients_misbehave = true;
+  return profile;
+}
+
+Profile broken(const std::string& name, std::mt19937_64&) {
+  return call_faults_only(name, {"recv broken:ETIMEDOUT 0.002; send broken:EHOSTUNREACH 0.002; "
+                                 "recv short 0.3; send short 0.3"});
+}
+
+Profile clock(const std::string& name, std::mt19937_64&) {
+  Profile profile =
+      call_faults_only(name, {"wall offset:3600 1 2", "wall offset:-3600 1 2", "wall offset:3600 1 0"});
+  profile.engines_drain = true;
+  return profile;
+}
+
+Profile shutdown(const std::string& name, std::mt19937_64&) {
+  Profile profile = call_faults_only(
+      name,
+      {"recv EINTR 0.05; send EINTR 0.05; send ENOBUFS 0.05; accept ECONNABORTED 0.2; accept EINTR 0.2; "
+       "setsockopt ENOBUFS 0.2"});
+  profile.managers_roll = true;
+  profile.configurations_reload = true;
+  profile.clients_misbehave = true;
+  profile.engines_hang = true;
+  return profile;
+}
+
+Profile late(const std::string& name, std::mt19937_64&) {
+  Profile profile = call_faults_only(name, {"", "recv short 0.3; send short 0.3", "send ENOBUFS 0.02"});
+  profile.engine_fault_scale = 2;
+  profile.late_frame_scale = 4;
+  profile.engines = 2;  // further attempts mostly go where the earlier ones went
+  profile.clients_misbehave = true;
+  profile.engines_hang = true;
+  profile.hanging_engines_stop_reading = true;
+  profile.engines_restart = true;
+  return profile;
+}
+
+Profile stall(const std::string& name, std::mt19937_64&) {
+  Profile profile = call_faults_only(name, {""});
+  profile.managers_pause = true;
+  profile.clients_misbehave = true;
   return profile;
 }
 
+struct NamedProfile {
+  const char* name;
+  Profile (*make)(const std::string& name, std::mt19937_64& random);
+};
+
+constexpr NamedProfile profiles[] = {
+    {"calm", calm},         {"receive", receive}, {"send", send},     {"start", start},
+    {"connect", connect},   {"accept", accept},   {"broken", broken}, {"clock", clock},
+    {"shutdown", shutdown}, {"late", late},       {"stall", stall},   {"soak", soak},
+};
+
+std::string all_names() {
+  std::string names;
+  for (const NamedProfile& profile : profiles)
+    names += (names.empty() ? "" : ", ") + std::string(profile.name);
+  return names;
+}
+
 }  // namespace
 
 Profile profile_named(const std::string& name, std::mt19937_64& random) {
-  if (name == "soak") return soak(random);
-  if (name == "calm") return calm(name, {""});
-  if (name == "receive") return calm(name, {"recv EINTR 0.02; recv ENOMEM 0.005"});
-  if (name == "send") return calm(name, {"send EINTR 0.02; send ENOBUFS 0.02"});
-  if (name == "start")
-    return calm(name, {"socket ENFILE 1 0 1", "bind ENOMEM 1 0 1", "listen ENOBUFS 1 0 1",
-                       "open ENFILE 1 0 1", "setsockopt ENOBUFS 1 0 1"});
-  if (name == "connect") {
-    Profile profile = calm(
-        name, {"connect EADDRNOTAVAIL 0.2; connect ENETUNREACH 0.1; connect EINTR 0.1; socket ENFILE 0.15;"
-               "socket ENOBUFS 1 3 3.3"});
-    profile.trouble = 1;
-    return profile;
-  }
-  if (name == "accept") {
-    Profile profile = calm(name, {"accept ECONNABORTED 0.3; accept EMFILE 0.1; accept ENFILE 1 2 2.4"});
-    profile.clients_misbehave = true;
-    return profile;
-  }
-  if (name == "broken")
-    return calm(name, {"recv broken:ETIMEDOUT 0.002; send broken:EHOSTUNREACH 0.002; recv short 0.3; "
-                       "send short 0.3"});
-  if (name == "clock") {
-    Profile profile = calm(name, {"wall offset:3600 1 2", "wall offset:-3600 1 2", "wall offset:3600 1 0"});
-    profile.drains = true;
-    return profile;
-  }
-  if (name == "shutdown") {
-    Profile profile = calm(
-        name,
-        {"recv EINTR 0.05; send EINTR 0.05; send ENOBUFS 0.05; accept ECONNABORTED 0.2; accept EINTR 0.2; "
-         "setsockopt ENOBUFS 0.2"});
-    profile.rolls = profile.reloads = profile.clients_misbehave = profile.hangs = true;
-    return profile;
-  }
-  if (name == "late") {
-    Profile profile = calm(name, {"", "recv short 0.3; send short 0.3", "send ENOBUFS 0.02"});
-    profile.trouble = 2;
-    profile.late = 4;
-    profile.engines = 2;  // further attempts mostly go where the earlier ones went
-    profile.clients_misbehave = profile.hangs = profile.deaf = profile.engine_restarts = true;
-    return profile;
-  }
-  if (name == "stall") {
-    Profile profile = calm(name, {""});
-    profile.stops = profile.clients_misbehave = true;
-    return profile;
-  }
-  throw std::runtime_error("profile '" + name +
-                           "'; wanted: calm, receive, send, start, connect, accept, broken, clock, shutdown, "
-                           "late, stall or soak");
+  for (const NamedProfile& profile : profiles)
+    if (name == profile.name) return profile.make(name, random);
+  throw std::runtime_error("unknown profile '" + name + "'; known are " + all_names());
 }
 
 }  // namespace paddlestand::faults
--- a/tests/faults/profiles.hpp
+++ b/tests/faults/profiles.hpp
@@ -1,4 +1,5 @@
-// What a fault run consists of: sizes, the faults of each manager's calls, and what happens to processes.
+/// Profiles of fault runs: how many processes, which system calls of managers fail, and what happens to
+/// processes.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +9,31 @@
 
 namespace paddlestand::faults {
 
+/// What a run consists of. The booleans are independent of each other.
 struct Profile {
   std::string name;
-  std::uint32_t managers = 3, engines = 4, clients = 3;
+  std::uint32_t managers = 3;
+  std::uint32_t engines = 4;
+  std::uint32_t clients = 3;  // processes
   double requests_per_s = 60;  // of each client process
-  double trouble = 0;  // at engines
-  double late = 0;  // frames of engines about attempts that have ended
-  std::uint32_t crowd = 0;  // idle connections of each client process to each manager
+  double engine_fault_scale = 0;  // scales the chances of errors, resets, lost and corrupt answers
+  double late_frame_scale = 0;  // scales the chances of frames about attempts that have ended
+  std::uint32_t idle_connections = 0;  // of each client process to each manager
   bool clients_misbehave = false;
-  bool rolls = false;  // planned restarts: SIGTERM, signals in between, SIGKILL at the earliest
-  bool kills = false;  // restarts without notice
-  bool reloads = false;  // SIGHUP, discovery moves
-  bool stops = false;  // SIGSTOP for a moment
-  bool drains = false;  // engines drain, new ones join
-  bool hangs = false;  // engines stop answering for a while
-  bool deaf = false;  // and they read nothing meanwhile
-  bool engine_restarts = false;  // engines are killed, and come back under their ids and addresses
-  bool silence = false;  // discovery falls silent
-  std::vector<std::string> rules;  // of call_faults.cpp; one is drawn for each start of a manager
+  bool managers_roll = false;  // planned restarts: SIGTERM, signals in between, SIGKILL at the earliest
+  bool managers_crash = false;  // restarts without notice
+  bool configurations_reload = false;  // SIGHUP, discovery moves to another address
+  bool managers_pause = false;  // SIGSTOP for a moment
+  bool engines_drain = false;  // and new ones join
+  bool engines_hang = false;  // they stop answering for a while
+  bool hanging_engines_stop_reading = false;
+  bool engines_restart = false;  // killed, and back under the same ids and addresses
+  bool discovery_falls_silent = false;
+  std::vector<std::string> call_fault_rules;  // for call_faults.cpp; manager N gets entry N modulo the size
 };
 
-/// Throws std::runtime_error for a name that is none; lists them.
+/// The profile of a name. Draws from `random` where the profile differs from run to run. Throws
+/// std::runtime_error for an unknown name; its message lists all names.
 Profile profile_named(const std::string& name, std::mt19937_64& random);
 
 }  // namespace paddlestand::faults
--- a/tests/faults/sockets.cpp
+++ b/tests/faults/sockets.cpp
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "event_log.hpp"
+#include "monotonic_clock.hpp"
 
 namespace paddlestand::faults {
 
@@ -52,12 +52,12 @@
 }
 
 Connection::Connection(Connection&& other) noexcept
-    : socket_(std::exchange(other.socket_, -1)), out_(std::move(other.out_)) {}
+    : socket_(std::exchange(other.socket_, -1)), output_(std::move(other.output_)) {}
 
 Connection& Connection::operator=(Connection&& other) noexcept {
   close();
   socket_ = std::exchange(other.socket_, -1);
-  out_ = std::move(other.out_);
+  output_ = std::move(other.output_);
   return *this;
 }
 
@@ -96,18 +96,18 @@
   close();
 }
 
-bool Connection::read(std::string& in) {
+bool Connection::read(std::string& input) {
   std::array<char, 65536> part;
   for (;;) {
     const ssize_t got = ::recv(socket_, part.data(), part.size(), 0);
-    if (got > 0) in.append(part.data(), static_cast<std::size_t>(got));
+    if (got > 0) input.append(part.data(), static_cast<std::size_t>(got));
     if (got > 0 || (got < 0 && errno == EINTR)) continue;
     was_reset_ = got < 0 && errno != EAGAIN;
     return got < 0 && errno == EAGAIN;
   }
 }
 
-bool Connection::read_with_time(std::string& in, std::int64_t& came) {
+bool Connection::read_with_time(std::string& input, std::int64_t& received_at) {
   std::array<char, 65536> part;
   for (;;) {
     iovec bytes{part.data(), part.size()};
@@ -120,8 +120,8 @@
     const ssize_t got = ::recvmsg(socket_, &message, 0);
     if (got < 0 && errno == EINTR) continue;
     if (got <= 0) return got < 0 && errno == EAGAIN;
-    in.append(part.data(), static_cast<std::size_t>(got));
-    came = monotonic_now();
+    input.append(part.data(), static_cast<std::size_t>(got));
+    received_at = monotonic_now();
     timespec wall{};
     ::clock_gettime(CLOCK_REALTIME, &wall);
     for (cmsghdr* one = CMSG_FIRSTHDR(&message); one != nullptr; one = CMSG_NXTHDR(&message, one)) {
@@ -129,18 +129,18 @@
       timespec stamp{};
       std::memcpy(&stamp, CMSG_DATA(one), sizeof(stamp));
       if (stamp.tv_sec == 0) continue;
-      came -= (wall.tv_sec - stamp.tv_sec) * 1'000'000'000 + (wall.tv_nsec - stamp.tv_nsec);
+      received_at -= (wall.tv_sec - stamp.tv_sec) * 1'000'000'000 + (wall.tv_nsec - stamp.tv_nsec);
     }
   }
 }
 
 bool Connection::flush() {
-  while (!out_.empty()) {
-    const ssize_t sent = ::send(socket_, out_.data(), out_.size(), MSG_NOSIGNAL);
+  while (!output_.empty()) {
+    const ssize_t sent = ::send(socket_, output_.data(), output_.size(), MSG_NOSIGNAL);
     if (sent < 0 && errno == EINTR) continue;
     was_reset_ = sent < 0 && errno != EAGAIN;
     if (sent < 0) return errno == EAGAIN;
-    out_.erase(0, static_cast<std::size_t>(sent));
+    output_.erase(0, static_cast<std::size_t>(sent));
   }
   return true;
 }
--- a/tests/faults/verdict.cpp
+++ b/tests/faults/verdict.cpp
@@ -2,232 +2,248 @@
 
 #include <algorithm>
 #include <limits>
-#include <map>
 #include <optional>
-#include <set>
+
+#include "monotonic_clock.hpp"
+#include "run_history.hpp"
 
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::int64_t millisecond = 1'000'000;
 // Each limit is the platform's, and 50 ms more, as the platform has it.
-constexpr std::int64_t late_attempt = 150 * millisecond;  // after the client has gone
-constexpr std::int64_t deadline_slack = 150;  // ms, of what an engine is given
-constexpr std::int64_t crossing = 70 * millisecond;  // a request that crosses a connection's end
+constexpr std::int64_t late_attempt_limit = 150 * millisecond;  // after its client abandoned the request
+constexpr std::int64_t deadline_slack_ms = 150;  // of what an engine is granted
+constexpr std::int64_t crossing_limit = 70 * millisecond;  // a request that crosses a connection's end
 // An engine sees a cancel or a close once its loop comes to it; the manager may have gone on at once.
-constexpr std::int64_t end_seen = 50 * millisecond;
-constexpr std::int64_t crash_seen = 1000 * millisecond;  // until clients see that a manager was killed
-
-struct Story {
-  std::optional<RunEvent> asked;
-  std::optional<RunEvent> outcome;
-  std::vector<RunEvent> answers, begun, rejected, ended;  // the last three at engines
-  std::optional<std::int64_t> gone;  // cancelled, or its client left
-};
+constexpr std::int64_t engine_loop_delay = 50 * millisecond;
+constexpr std::int64_t crash_detection_limit = 1000 * millisecond;  // until clients see a manager's kill
+// An attempt may start between an event and its record.
+constexpr std::int64_t record_delay = 1 * millisecond;
+
+const char* name_of(Rule rule) {
+  switch (rule) {
+    case Rule::no_request_lost: return "lost";
+    case Rule::deadline_within_client_timeout: return "deadline";
+    case Rule::effect_at_most_once: return "duplicate";
+    case Rule::rejected_without_effect: return "rejection";
+    case Rule::one_attempt_at_a_time: return "concurrent";
+    case Rule::no_attempt_at_draining_engine: return "drain";
+    case Rule::manager_keeps_running: return "crash";
+    case Rule::manager_becomes_ready: return "start";
+    case Rule::manager_logs_no_violation: return "logged by manager";
+  }
+  return "unknown rule";
+}
+
+std::string in_ms(std::int64_t ns) { return std::to_string(ns / millisecond) + " ms"; }
+
+std::string engine_name(const RunEvent& attempt) { return "engine " + std::to_string(attempt.subject); }
+
+/// The first of the times of the attempt's engine since the attempt started; or nothing.
+std::optional<std::int64_t> first_since(const RunEvent& attempt, const TimesBySubject& times) {
+  const auto found = times.find(attempt.subject);
+  if (found == times.end()) return std::nullopt;
+  const auto first = std::find_if(found->second.begin(), found->second.end(),
+                                  [&](std::int64_t time) { return time >= attempt.at - record_delay; });
+  if (first == found->second.end()) return std::nullopt;
+  return *first;
+}
+
+/// Whether the manager's process ended at one of these times, and `at` is shortly after it.
+bool is_shortly_after(const TimesBySubject& ends, std::uint32_t manager, std::int64_t at) {
+  const auto found = ends.find(manager);
+  if (found == ends.end()) return false;
+  return std::any_of(found->second.begin(), found->second.end(),
+                     [&](std::int64_t end) { return at >= end && at <= end + crash_detection_limit; });
+}
 
 class Judge {
  public:
-  Judge(std::vector<RunEvent> events, const RunFacts& facts) : events_(std::move(events)), facts_(facts) {}
+  Judge(const RunHistory& history, const RunFacts& facts) : history_(history), facts_(facts) {}
 
   Verdict verdict() {
-    collect();
-    for (const auto& [trace, story] : stories_) {
-      answered_once(story);
-      not_lost(story);
-      nothing_after_its_end(story);
-      deadline_is_true(story);
-      effect_once(story);
-      one_attempt_out(story);
-      drains_kept(story);
-    }
+    verdict_.requests = history_.requests_sent;
+    verdict_.served = history_.served;
+    verdict_.rejected = history_.rejected;
+    verdict_.failed = history_.failed;
+    for (const RunEvent& event : history_.violations) add_violation(event);
+    for (const auto& [trace, request] : history_.requests) check(request);
     return std::move(verdict_);
   }
 
  private:
-  void violation(const char* rule, const Story& story, const std::string& what) {
-    char trace[17];
-    const std::uint64_t id = story.asked ? story.asked->trace : story.begun.front().trace;
-    std::snprintf(trace, sizeof(trace), "%016llx", static_cast<unsigned long long>(id));
-    verdict_.violations.push_back(std::string(rule) + ": " + trace + " at manager " +
-                                  std::to_string(story.asked ? story.asked->subject : 0) + " (client port " +
-                                  std::to_string(story.asked ? story.asked->port : 0) + "): " + what);
+  void check(const RequestHistory& request) {
+    check_answers(request);
+    check_outcome(request);
+    check_attempts_after_abandonment(request);
+    check_granted_time(request);
+    check_effect(request);
+    check_concurrent_attempts(request);
+    check_drains(request);
   }
-  static std::string ms(std::int64_t ns) { return std::to_string(ns / millisecond) + " ms"; }
-
-  void collect() {
-    for (const RunEvent& event : events_) {
-      Story* story = event.trace != 0 ? &stories_[event.trace] : nullptr;
-      switch (event.kind) {
-        case EventKind::asked:
-          story->asked = event;
-          ++verdict_.asked;
-          break;
-        case EventKind::answered:
-          if (story == nullptr) {
-            verdict_.violations.push_back("lost: manager " + std::to_string(event.subject) +
-                                          " answered number " + std::to_string(event.value) +
-                                          " on client port " + std::to_string(event.port) + " once more");
-            break;
-          }
-          story->answers.push_back(event);
-          story->outcome = event;
-          verdict_.served += event.detail == "served" ? 1 : 0;
-          verdict_.rejected += event.detail == "refused" ? 1 : 0;
-          verdict_.failed += event.detail == "failed" ? 1 : 0;
-          break;
-        case EventKind::cancelled:
-        case EventKind::left: story->gone = event.at; break;
-        case EventKind::ended:
-        case EventKind::unanswered: story->outcome = event; break;
-        case EventKind::begun: story->begun.push_back(event); break;
-        case EventKind::rejected: story->rejected.push_back(event); break;
-        case EventKind::attempt_ended: story->ended.push_back(event); break;
-        case EventKind::crashed: crashes_[event.subject].push_back(event.at); break;
-        case EventKind::killed: kills_[event.subject].push_back(event.at); break;
-        case EventKind::engine_killed: engine_kills_[event.subject].push_back(event.at); break;
-        case EventKind::deaf: deaf_[event.subject].push_back(event.at); break;
-        case EventKind::draining: draining_.try_emplace(event.subject, event.at); break;
-        case EventKind::broken:
-          broken_.insert({event.subject, static_cast<std::uint32_t>(event.value)});
-          break;
-        case EventKind::exited:
-          verdict_.violations.push_back("crash: manager " + std::to_string(event.subject) + " ended with " +
-                                        std::to_string(event.value));
-          break;
-        case EventKind::not_ready:
-          verdict_.violations.push_back("start: manager " + std::to_string(event.subject) + " was not ready");
-          break;
-      }
+
+  void add_violation(const RunEvent& event) {
+    const std::string manager = "manager " + std::to_string(event.subject);
+    switch (event.kind) {
+      case EventKind::answered:
+        verdict_.violations.push_back(
+            {Rule::no_request_lost, manager + " answered number " + std::to_string(event.value) +
+                                        " on client port " + std::to_string(event.port) + " once more"});
+        break;
+      case EventKind::manager_exited:
+        verdict_.violations.push_back(
+            {Rule::manager_keeps_running, manager + " ended with " + std::to_string(event.value)});
+        break;
+      case EventKind::manager_not_ready:
+        verdict_.violations.push_back({Rule::manager_becomes_ready, manager + " was not ready"});
+        break;
+      default: break;
     }
   }
 
-  [[nodiscard]] bool ended_by(const std::map<std::uint32_t, std::vector<std::int64_t>>& kills,
-                              std::uint32_t manager, std::int64_t at) const {
-    const auto found = kills.find(manager);
-    return found != kills.end() &&
-           std::any_of(found->second.begin(), found->second.end(),
-                       [&](std::int64_t crash) { return at >= crash && at <= crash + crash_seen; });
+  void add_violation(Rule rule, const RequestHistory& request, const std::string& what) {
+    char trace[17];
+    std::snprintf(trace, sizeof(trace), "%016llx", static_cast<unsigned long long>(request.trace));
+    const std::uint32_t manager = request.sent ? request.sent->subject : 0;
+    const std::uint32_t port = request.sent ? request.sent->port : 0;
+    verdict_.violations.push_back({rule, std::string(trace) + " at manager " + std::to_string(manager) +
+                                             " (client port " + std::to_string(port) + "): " + what});
   }
 
-  void answered_once(const Story& story) {
-    if (story.answers.size() > 1) violation("lost", story, "two answers");
-    for (const RunEvent& answer : story.answers)
-      if (answer.detail == "wrong") violation("lost", story, "an answer that no engine made");
+  void check_answers(const RequestHistory& request) {
+    if (request.answers.size() > 1) add_violation(Rule::no_request_lost, request, "two answers");
+    for (const RunEvent& answer : request.answers)
+      if (answer.detail == answer_detail::wrong)
+        add_violation(Rule::no_request_lost, request, "an answer that no engine made");
   }
 
-  void not_lost(const Story& story) {
-    if (!story.asked || story.gone) return;
-    const RunEvent& asked = *story.asked;
-    if (!story.outcome) return violation("lost", story, "no outcome was written down");
-    const RunEvent& outcome = *story.outcome;
+  /// Every request that was sent and not abandoned has an answer, or its connection's end is accounted for.
+  void check_outcome(const RequestHistory& request) {
+    if (!request.sent || request.abandoned_at) return;
+    if (!request.outcome) {
+      add_violation(Rule::no_request_lost, request, "no outcome was recorded");
+      return;
+    }
+    const RunEvent& sent = *request.sent;
+    const RunEvent& outcome = *request.outcome;
     if (outcome.kind == EventKind::answered) return;
-    if (broken_.contains({asked.subject, asked.port})) return;
-    if (ended_by(crashes_, asked.subject, outcome.at)) return;
-    const std::int64_t after = outcome.at - asked.at;
-    if (outcome.kind == EventKind::unanswered)
-      return violation(
-          "lost", story,
-          "no answer " + ms(after) + " after it was asked, patience " + std::to_string(asked.value) + " ms");
-    // A request may cross the end of a connection, not one that was taken, and not under a close over its
-    // bytes.
-    const bool orderly = outcome.detail != "reset" || ended_by(kills_, asked.subject, outcome.at);
-    if (after <= crossing && story.begun.empty() && orderly) return;
-    if (facts_.crowded && asked.first) return;
-    violation("lost", story, "its connection ended " + ms(after) + " after it was asked, with no answer");
+    if (history_.broken_connections.contains({sent.subject, sent.port})) return;
+    if (is_shortly_after(history_.manager_crashes, sent.subject, outcome.at)) return;
+    const std::string delay = in_ms(outcome.at - sent.at);
+    if (outcome.kind == EventKind::unanswered) {
+      add_violation(
+          Rule::no_request_lost, request,
+          "no answer " + delay + " after it was sent, client timeout " + std::to_string(sent.value) + " ms");
+      return;
+    }
+    if (may_have_crossed_the_end(request)) return;
+    if (facts_.many_idle_connections && sent.first) return;
+    add_violation(Rule::no_request_lost, request,
+                  "its connection ended " + delay + " after it was sent, with no answer");
   }
 
-  void nothing_after_its_end(const Story& story) {
-    if (!story.gone) return;
-    for (const RunEvent& begun : story.begun)
-      if (begun.at > *story.gone + late_attempt)
-        violation("lost", story,
-                  "begun at engine " + std::to_string(begun.subject) + " " + ms(begun.at - *story.gone) +
-                      " after its client had gone");
+  /// A request may cross the end of a connection; not one that was accepted, and not under a close over its
+  /// bytes, which the client sees as a reset.
+  [[nodiscard]] bool may_have_crossed_the_end(const RequestHistory& request) const {
+    const RunEvent& sent = *request.sent;
+    const RunEvent& outcome = *request.outcome;
+    const bool orderly = outcome.detail != end_detail::reset ||
+                         is_shortly_after(history_.manager_kills, sent.subject, outcome.at);
+    return outcome.at - sent.at <= crossing_limit && request.attempts_started.empty() && orderly;
   }
 
-  void deadline_is_true(const Story& story) {
-    if (!story.asked) return;
-    for (const RunEvent& begun : story.begun) {
-      const std::int64_t left = story.asked->value - (begun.at - story.asked->at) / millisecond;
-      if (begun.value > left + deadline_slack)
-        violation("deadline", story,
-                  "engine " + std::to_string(begun.subject) + " was given " + std::to_string(begun.value) +
-                      " ms, its client had " + std::to_string(left) + " ms left");
+  void check_attempts_after_abandonment(const RequestHistory& request) {
+    if (!request.abandoned_at) return;
+    for (const RunEvent& attempt : request.attempts_started) {
+      const std::int64_t delay = attempt.at - *request.abandoned_at;
+      if (delay <= late_attempt_limit) continue;
+      add_violation(
+          Rule::no_request_lost, request,
+          "started at " + engine_name(attempt) + " " + in_ms(delay) + " after its client abandoned it");
     }
   }
 
-  void effect_once(const Story& story) {
-    if (!story.asked || story.asked->detail != "settle") return;
-    const std::size_t ran = story.begun.size() - std::min(story.begun.size(), story.rejected.size());
-    if (ran > 1) violation("duplicate", story, "begun " + std::to_string(ran) + " times");
-    if (ran > 0 && story.outcome && story.outcome->detail == "refused")
-      violation("refusal", story, "was called refused, and had begun");
+  void check_granted_time(const RequestHistory& request) {
+    if (!request.sent) return;
+    for (const RunEvent& attempt : request.attempts_started) {
+      const std::int64_t elapsed_ms = (attempt.at - request.sent->at) / millisecond;
+      const std::int64_t remaining_ms = request.sent->value - elapsed_ms;
+      if (attempt.value <= remaining_ms + deadline_slack_ms) continue;
+      add_violation(Rule::deadline_within_client_timeout, request,
+                    engine_name(attempt) + " was granted " + std::to_string(attempt.value) +
+                        " ms, its client had " + std::to_string(remaining_ms) + " ms remaining");
+    }
   }
 
-  // By the engines' own account, whatever the manager believed, for every class.
-  void one_attempt_out(const Story& story) {
-    std::vector<RunEvent> ends = story.ended;
-    std::optional<std::int64_t> out_until;
-    for (const RunEvent& begun : story.begun) {
-      if (out_until && begun.at < *out_until)
-        violation("concurrent", story,
-                  "begun at engine " + std::to_string(begun.subject) + " while another attempt was out");
-      const std::int64_t end = end_of(begun, ends);
-      out_until = std::max(out_until.value_or(end), end);
-    }
+  /// Of requests that must not run twice.
+  void check_effect(const RequestHistory& request) {
+    if (!request.sent || request.sent->detail != "settle") return;
+    const std::size_t started = request.attempts_started.size();
+    const std::size_t ran = started - std::min(started, request.attempts_rejected.size());
+    if (ran > 1)
+      add_violation(Rule::effect_at_most_once, request, "started " + std::to_string(ran) + " times");
+    if (ran > 0 && request.outcome && request.outcome->detail == answer_detail::rejected)
+      add_violation(Rule::rejected_without_effect, request, "was answered as rejected, and had started");
   }
 
-  // The first of these times at the engine since the attempt began; or nothing.
-  static std::optional<std::int64_t> first_since(
-      const RunEvent& begun, const std::map<std::uint32_t, std::vector<std::int64_t>>& times) {
-    const auto found = times.find(begun.subject);
-    if (found == times.end()) return std::nullopt;
-    // One may begin between an event and what it tells of.
-    const auto first = std::find_if(found->second.begin(), found->second.end(),
-                                    [&](std::int64_t at) { return at >= begun.at - millisecond; });
-    return first == found->second.end() ? std::nullopt : std::optional(*first);
+  /// By the engines' own account, whatever the manager believed, for every class.
+  void check_concurrent_attempts(const RequestHistory& request) {
+    std::vector<RunEvent> ends = request.attempts_ended;
+    std::optional<std::int64_t> active_until;
+    for (const RunEvent& attempt : request.attempts_started) {
+      if (active_until && attempt.at < *active_until) {
+        add_violation(Rule::one_attempt_at_a_time, request,
+                      "started at " + engine_name(attempt) + " while another attempt was active");
+      }
+      const std::int64_t end = extract_end_of(attempt, ends);
+      active_until = std::max(active_until.value_or(end), end);
+    }
   }
 
-  // When the attempt was certainly over for its engine; the event is taken from `ends`. What is given up
-  // while the engine reads nothing is over at a time that it can't tell, and may still be answered by it:
-  // nothing is held against it from there on.
-  std::int64_t end_of(const RunEvent& begun, std::vector<RunEvent>& ends) const {
-    const auto end = std::find_if(ends.begin(), ends.end(), [&](const RunEvent& one) {
-      return one.subject == begun.subject && one.port == begun.port && one.at >= begun.at;
+  /// When the attempt was certainly over for its engine; its event is removed from `ends`. What is cancelled
+  /// while the engine reads nothing ends at a time that the engine can't know, and may still be answered by
+  /// it: such an attempt counts as over from the moment on from which the engine read nothing.
+  std::int64_t extract_end_of(const RunEvent& attempt, std::vector<RunEvent>& ends) const {
+    const auto end = std::find_if(ends.begin(), ends.end(), [&](const RunEvent& candidate) {
+      return candidate.subject == attempt.subject && candidate.port == attempt.port &&
+             candidate.at >= attempt.at;
     });
-    std::int64_t at = first_since(begun, engine_kills_).value_or(std::numeric_limits<std::int64_t>::max());
+    std::int64_t at =
+        first_since(attempt, history_.engine_kills).value_or(std::numeric_limits<std::int64_t>::max());
     if (end != ends.end()) {
-      at = end->detail == "answered" ? end->at : end->at - end_seen;
+      const bool answered = end->detail == attempt_detail::answered;
+      at = answered ? end->at : end->at - engine_loop_delay;
       ends.erase(end);
     }
-    return std::min(at, first_since(begun, deaf_).value_or(at));
+    return std::min(at, first_since(attempt, history_.engine_read_stops).value_or(at));
   }
 
-  void drains_kept(const Story& story) {
-    for (const RunEvent& begun : story.begun) {
-      const auto drain = draining_.find(begun.subject);
-      if (drain == draining_.end()) continue;
-      const double after = static_cast<double>(begun.at - drain->second) * 1e-9;
-      if (after > facts_.drain_grace_s)
-        violation("drain", story,
-                  "begun at engine " + std::to_string(begun.subject) + " " + std::to_string(after) +
-                      " s after it began to drain");
+  void check_drains(const RequestHistory& request) {
+    for (const RunEvent& attempt : request.attempts_started) {
+      const auto drain = history_.engine_drains.find(attempt.subject);
+      if (drain == history_.engine_drains.end()) continue;
+      const double delay_s = static_cast<double>(attempt.at - drain->second) * 1e-9;
+      if (delay_s <= facts_.drain_grace_s) continue;
+      add_violation(Rule::no_attempt_at_draining_engine, request,
+                    "started at " + engine_name(attempt) + " " + std::to_string(delay_s) +
+                        " s after it began to drain");
     }
   }
 
-  std::vector<RunEvent> events_;
+  const RunHistory& history_;
   RunFacts facts_;
   Verdict verdict_;
-  std::map<std::uint64_t, Story> stories_;
-  std::map<std::uint32_t, std::vector<std::int64_t>> crashes_, kills_, engine_kills_, deaf_;
-  std::map<std::uint32_t, std::int64_t> draining_;
-  std::set<std::pair<std::uint32_t, std::uint32_t>> broken_;
 };
 
 }  // namespace
 
-Verdict judge(std::vector<RunEvent> events, const RunFacts& facts) {
-  return Judge(std::move(events), facts).verdict();
+std::string to_line(const Violation& violation) {
+  return std::string(name_of(violation.rule)) + ": " + violation.description;
+}
+
+Verdict judge(const std::vector<RunEvent>& events, const RunFacts& facts) {
+  const RunHistory history = history_of(events);
+  return Judge(history, facts).verdict();
 }
 
 }  // namespace paddlestand::faults
