--- a/tests/faults/call_faults.cpp
+++ b/tests/faults/call_faults.cpp
@@ -1,16 +1,16 @@
-// A library to preload into a process under test: chosen system calls fail as Linux documents it, chosen by a
-// seeded generator, and the wall clock is off or stepped. Nothing of it is linked into the product.
-//
-//   PADDLESTAND_FAULTS       rules, separated by ';':  CALL ERROR PROBABILITY [FROM UNTIL]
-//                            seconds count from the first call; no bounds: always
-//   PADDLESTAND_FAULT_SEED   a number
-//   PADDLESTAND_FAULT_LOG    a file that gets one line for each connection that a rule broke
-//
-// CALL is one of recv, send, accept, connect, socket, bind, listen, setsockopt, shutdown, epoll_wait, open,
-// read, fwrite, fopen, wall. ERROR is an errno by name, or
-//   short           recv, send, read: at most three bytes are asked for
-//   broken:ERRNO    recv, send: the connection ends for both sides first, as a broken one does
-//   offset:SECONDS  wall: the clock is off by so much while the rule holds
+/// A library to preload into a process under test: system calls that a seeded generator draws fail as Linux
+/// documents it, and the wall clock is offset or stepped. Nothing of it is linked into the product.
+///
+///   PADDLESTAND_FAULTS       rules, separated by ';':  CALL ERROR PROBABILITY [FROM UNTIL]
+///                            seconds count from the first call; no bounds: always
+///   PADDLESTAND_FAULT_SEED   a number
+///   PADDLESTAND_FAULT_LOG    a file to which one line is appended for each connection that a rule breaks
+///
+/// CALL is one of recv, send, accept, connect, socket, bind, listen, setsockopt, shutdown, epoll_wait, open,
+/// read, fwrite, fopen, wall. ERROR is an errno by name, or
+///   short           recv, send, read: at most three bytes are requested
+///   broken:ERRNO    recv, send: the connection first ends for both sides, as a broken one does
+///   offset:SECONDS  wall: the clock is offset by so much while the rule holds
 #ifndef _GNU_SOURCE
 #define _GNU_SOURCE
 #endif
@@ -37,14 +37,24 @@
 
 namespace {
 
-enum class HostAction { error, short_transfer, broken, offset };
+constexpr std::size_t short_transfer_size = 3;  // bytes
+
+enum class Effect {
+  error,  // the call fails
+  short_transfer,  // the call transfers few bytes
+  broken_connection,  // the call's connection ends, and the call fails
+  wall_clock_offset
+};
 
 struct Rule {
   std::string call;
-  HostAction effect = HostAction::error;
+  Effect effect = Effect::error;
   int error_number = 0;
-  double probability = 0, from = 0, until = 1e18;
-  double offset = 0;
+  double probability = 0;
+  // Seconds since the first call.
+  double from = 0;
+  double until = 1e18;
+  double offset_s = 0;  // of the wall clock
 };
 
 struct ErrorName {
@@ -76,37 +86,40 @@
 };
 
 int error_number_of(const std::string& name) {
-  for (const ErrorName& one : error_names)
-    if (name == one.name) return one.number;
+  for (const ErrorName& error : error_names)
+    if (name == error.name) return error.number;
   std::fprintf(stderr, "call_faults: unknown error '%s'\n", name.c_str());
   std::abort();
 }
 
+/// Aborts the process where the rule is not well-formed.
 Rule parse_rule(const std::string& text) {
-  char call[32] = {}, what[64] = {};
+  char call[32] = {};
+  char effect_text[64] = {};
   Rule rule;
-  const int fields = std::sscanf(text.c_str(), " %31s %63s %lf %lf %lf", call, what, &rule.probability,
+  const int fields = std::sscanf(text.c_str(), " %31s %63s %lf %lf %lf", call, effect_text, &rule.probability,
                                  &rule.from, &rule.until);
   if (fields < 3) {
-    std::fprintf(stderr, "call_faults: '%s'; wanted: CALL ERROR PROBABILITY [FROM UNTIL]\n", text.c_str());
+    std::fprintf(stderr, "call_faults: '%s'; expected: CALL ERROR PROBABILITY [FROM UNTIL]\n", text.c_str());
     std::abort();
   }
   rule.call = call;
-  const std::string effect = what;
+  const std::string effect = effect_text;
   if (effect == "short") {
-    rule.effect = HostAction::short_transfer;
+    rule.effect = Effect::short_transfer;
   } else if (effect.rfind("broken:", 0) == 0) {
-    rule.effect = HostAction::broken;
+    rule.effect = Effect::broken_connection;
     rule.error_number = error_number_of(effect.substr(7));
   } else if (effect.rfind("offset:", 0) == 0) {
-    rule.effect = HostAction::offset;
-    rule.offset = std::strtod(effect.c_str() + 7, nullptr);
+    rule.effect = Effect::wall_clock_offset;
+    rule.offset_s = std::strtod(effect.c_str() + 7, nullptr);
   } else {
     rule.error_number = error_number_of(effect);
   }
   return rule;
 }
 
+/// The function of this name that the library replaces.
 template <typename Function>
 Function real(const char* name) {
   return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
@@ -124,31 +137,35 @@
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
+/// The rules, and the generator that draws by them. Thread-safe.
 class Faults {
  public:
   static Faults& instance() {
-    static Faults* const faults = new Faults;  // never destroyed: calls come until the very end
+    static Faults* const faults = new Faults;  // never destroyed: calls are made until the process ends
     return *faults;
   }
 
-  const Rule* drawn(const char* call) {
+  /// The first rule for the call that applies this time; or null.
+  const Rule* draw(const char* call) {
     const double now = monotonic_seconds() - began_;
     for (const Rule& rule : rules_) {
       if (rule.call != call || now < rule.from || now >= rule.until) continue;
-      if (chance() < rule.probability) return &rule;
+      if (draw_uniform() < rule.probability) return &rule;
     }
     return nullptr;
   }
 
+  /// Seconds by which the wall clock is off now.
   double wall_offset() const {
     const double now = monotonic_seconds() - began_;
     double offset = 0;
     for (const Rule& rule : rules_)
-      if (rule.effect == HostAction::offset && now >= rule.from && now < rule.until) offset += rule.offset;
+      if (rule.effect == Effect::wall_clock_offset && now >= rule.from && now < rule.until)
+        offset += rule.offset_s;
     return offset;
   }
 
-  // Both sides see the end at once: the peer a reset, this side its error.
+  /// Both sides see the connection's end at once. It is recorded in the log.
   void break_connection(int socket) {
     sockaddr_in peer{};
     socklen_t size = sizeof(peer);
@@ -168,43 +185,51 @@
 
  private:
   Faults() : began_(monotonic_seconds()) {
-    const char* rules = std::getenv("PADDLESTAND_FAULTS");
-    std::string text = rules == nullptr ? "" : rules;
-    while (!text.empty()) {
-      const auto end = text.find(';');
-      const std::string one = text.substr(0, end);
-      if (one.find_first_not_of(' ') != std::string::npos) rules_.push_back(parse_rule(one));
-      text = end == std::string::npos ? "" : text.substr(end + 1);
-    }
+    read_rules();
     const char* seed = std::getenv("PADDLESTAND_FAULT_SEED");
-    state_ = (seed == nullptr ? 1 : std::strtoull(seed, nullptr, 10)) * 0x9e3779b97f4a7c15ULL + 1;
+    state_ = (seed == nullptr ? 1 : std::strtoull(seed, nullptr, 10)) * state_step + 1;
     const char* log = std::getenv("PADDLESTAND_FAULT_LOG");
     static const auto open_file = real<int (*)(const char*, int, ...)>("open");
     if (log != nullptr) log_ = open_file(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   }
 
-  double chance() {  // splitmix64
-    std::uint64_t z = state_.fetch_add(0x9e3779b97f4a7c15ULL) + 0x9e3779b97f4a7c15ULL;
+  void read_rules() {
+    const char* rules = std::getenv("PADDLESTAND_FAULTS");
+    std::string remaining = rules == nullptr ? "" : rules;
+    while (!remaining.empty()) {
+      const auto end = remaining.find(';');
+      const std::string rule = remaining.substr(0, end);
+      if (rule.find_first_not_of(' ') != std::string::npos) rules_.push_back(parse_rule(rule));
+      remaining = end == std::string::npos ? "" : remaining.substr(end + 1);
+    }
+  }
+
+  /// The next number of splitmix64, from 0 up to 1.
+  double draw_uniform() {
+    std::uint64_t z = state_.fetch_add(state_step) + state_step;
     z = (z ^ (z >> 30U)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27U)) * 0x94d049bb133111ebULL;
     return static_cast<double>((z ^ (z >> 31U)) >> 11U) * 0x1.0p-53;
   }
 
+  static constexpr std::uint64_t state_step = 0x9e3779b97f4a7c15ULL;
+
   std::vector<Rule> rules_;
-  double began_;
+  double began_;  // seconds, on the monotonic clock
   std::atomic<std::uint64_t> state_{};
-  int log_ = -1;
+  int log_ = -1;  // descriptor; negative: none
 };
 
-// Whether the call is to fail with errno set; `most` is lowered for a short transfer.
-bool fails(const char* call, int socket, std::size_t* most) {
-  const Rule* rule = Faults::instance().drawn(call);
+/// Whether the call is to fail, with errno set. `size` is lowered for a short transfer; null: the call has
+/// none.
+bool fails(const char* call, int socket, std::size_t* size) {
+  const Rule* rule = Faults::instance().draw(call);
   if (rule == nullptr) return false;
-  if (rule->effect == HostAction::short_transfer) {
-    if (most != nullptr && *most > 3) *most = 3;
+  if (rule->effect == Effect::short_transfer) {
+    if (size != nullptr && *size > short_transfer_size) *size = short_transfer_size;
     return false;
   }
-  if (rule->effect == HostAction::broken) Faults::instance().break_connection(socket);
+  if (rule->effect == Effect::broken_connection) Faults::instance().break_connection(socket);
   errno = rule->error_number;
   return true;
 }
--- a/tests/faults/sockets.cpp
+++ b/tests/faults/sockets.cpp
@@ -16,6 +16,26 @@
 #include "monotonic_clock.hpp"
 
 namespace paddlestand::faults {
+namespace {
+
+constexpr std::size_t read_size = 65536;  // bytes of one call
+
+/// Nanoseconds since the message arrived from the network, by its timestamp; zero where it has none.
+std::int64_t time_in_kernel(msghdr& message) {
+  timespec now{};
+  ::clock_gettime(CLOCK_REALTIME, &now);
+  std::int64_t elapsed = 0;
+  for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr; header = CMSG_NXTHDR(&message, header)) {
+    if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_TIMESTAMPNS) continue;
+    timespec received{};
+    std::memcpy(&received, CMSG_DATA(header), sizeof(received));
+    if (received.tv_sec == 0) continue;
+    elapsed += (now.tv_sec - received.tv_sec) * second + (now.tv_nsec - received.tv_nsec);
+  }
+  return elapsed;
+}
+
+}  // namespace
 
 sockaddr_in Endpoint::address() const {
   sockaddr_in at{};
@@ -36,14 +56,14 @@
   const auto colon = text.rfind(':');
   in_addr raw{};
   if (colon == std::string::npos || ::inet_pton(AF_INET, text.substr(0, colon).c_str(), &raw) != 1)
-    throw std::runtime_error("'" + text + "'; wanted: an address like 127.0.0.1:80");
+    throw std::runtime_error("'" + text + "'; expected an address like 127.0.0.1:80");
   return {ntohl(raw.s_addr), static_cast<std::uint16_t>(std::stoi(text.substr(colon + 1)))};
 }
 
 int listen_on(const Endpoint& at, int backlog) {
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  const int one = 1;
-  ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
+  const int enable = 1;
+  ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable));
   const sockaddr_in address = at.address();
   if (socket < 0 || ::bind(socket, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 ||
       ::listen(socket, backlog) != 0)
@@ -62,20 +82,20 @@
 }
 
 std::optional<Connection> Connection::connect(const Endpoint& to) {
-  Connection made(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const int one = 1;
-  ::setsockopt(made.socket_, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
+  constexpr int handshake_ms = 200;
+  Connection connection(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  const int socket = connection.socket_;
+  const int enable = 1;
+  ::setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof(enable));
   const sockaddr_in address = to.address();
-  if (::connect(made.socket_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0) return made;
+  if (::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0) return connection;
   if (errno != EINPROGRESS) return std::nullopt;
-  pollfd up{made.socket_, POLLOUT, 0};
-  constexpr int handshake_ms = 200;
+  pollfd connected{socket, POLLOUT, 0};
+  if (::poll(&connected, 1, handshake_ms) != 1) return std::nullopt;
   int error = 0;
   socklen_t size = sizeof(error);
-  if (::poll(&up, 1, handshake_ms) != 1 ||
-      ::getsockopt(made.socket_, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0)
-    return std::nullopt;
-  return made;
+  if (::getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) return std::nullopt;
+  return connection;
 }
 
 std::uint16_t Connection::own_port() const {
@@ -91,24 +111,24 @@
 }
 
 void Connection::reset() {
-  const linger now{1, 0};
-  ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+  const linger no_linger{1, 0};
+  ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &no_linger, sizeof(no_linger));
   close();
 }
 
 bool Connection::read(std::string& input) {
-  std::array<char, 65536> part;
+  std::array<char, read_size> part;
   for (;;) {
-    const ssize_t got = ::recv(socket_, part.data(), part.size(), 0);
-    if (got > 0) input.append(part.data(), static_cast<std::size_t>(got));
-    if (got > 0 || (got < 0 && errno == EINTR)) continue;
-    was_reset_ = got < 0 && errno != EAGAIN;
-    return got < 0 && errno == EAGAIN;
+    const ssize_t size = ::recv(socket_, part.data(), part.size(), 0);
+    if (size > 0) input.append(part.data(), static_cast<std::size_t>(size));
+    if (size > 0 || (size < 0 && errno == EINTR)) continue;
+    was_reset_ = size < 0 && errno != EAGAIN;
+    return size < 0 && errno == EAGAIN;
   }
 }
 
 bool Connection::read_with_time(std::string& input, std::int64_t& received_at) {
-  std::array<char, 65536> part;
+  std::array<char, read_size> part;
   for (;;) {
     iovec bytes{part.data(), part.size()};
     alignas(cmsghdr) std::array<char, 256> control{};
@@ -117,20 +137,12 @@
     message.msg_iovlen = 1;
     message.msg_control = control.data();
     message.msg_controllen = control.size();
-    const ssize_t got = ::recvmsg(socket_, &message, 0);
-    if (got < 0 && errno == EINTR) continue;
-    if (got <= 0) return got < 0 && errno == EAGAIN;
-    input.append(part.data(), static_cast<std::size_t>(got));
-    received_at = monotonic_now();
-    timespec wall{};
-    ::clock_gettime(CLOCK_REALTIME, &wall);
-    for (cmsghdr* one = CMSG_FIRSTHDR(&message); one != nullptr; one = CMSG_NXTHDR(&message, one)) {
-      if (one->cmsg_level != SOL_SOCKET || one->cmsg_type != SCM_TIMESTAMPNS) continue;
-      timespec stamp{};
-      std::memcpy(&stamp, CMSG_DATA(one), sizeof(stamp));
-      if (stamp.tv_sec == 0) continue;
-      received_at -= (wall.tv_sec - stamp.tv_sec) * 1'000'000'000 + (wall.tv_nsec - stamp.tv_nsec);
-    }
+    const ssize_t size = ::recvmsg(socket_, &message, 0);
+    if (size < 0 && errno == EINTR) continue;
+    if (size <= 0) return size < 0 && errno == EAGAIN;
+    input.append(part.data(), static_cast<std::size_t>(size));
+    const std::int64_t now = monotonic_now();
+    received_at = now - time_in_kernel(message);
   }
 }
 
