--- a/bench_adapter/wire_host.cpp
+++ b/bench_adapter/wire_host.cpp
@@ -316,9 +316,9 @@
   const auto seed = in.read<std::uint64_t>();
   const auto bytes = in.read_bytes(in.read<std::uint32_t>());
   auto parsed = parse_settings(std::string(bytes.begin(), bytes.end()));
-  if (const auto* problem = std::get_if<std::string>(&parsed)) {
+  if (const auto* error = std::get_if<config::SettingsError>(&parsed)) {
     out.begin_record(ActionCode::settings_error, id);
-    out.write_text(*problem);
+    out.write_text(error->text());
     parsed = ParsedSettings{};
   }
   auto& settings = std::get<ParsedSettings>(parsed);
--- a/src/config/manager_config.cpp
+++ b/src/config/manager_config.cpp
@@ -1,5 +1,6 @@
 #include "manager_config.hpp"
 
+#include <algorithm>
 #include <cmath>
 #include <filesystem>
 #include <optional>
@@ -226,11 +227,11 @@
         alone.class_otherwise = module.classes.front().name;
         alone.rules = {rule};
         const core::Classifier tried(alone, module);
-        if (!tried.problem().empty()) fail(one, tried.problem());
+        if (const auto& error = tried.error()) fail(one, error->text());
       }
     }
     const core::Classifier tried(out.classifier, module);
-    if (!tried.problem().empty()) fail(rules_at, tried.problem());
+    if (const auto& error = tried.error()) fail(rules_at, error->text());
   }
 
   void read_engine_channels(const Element& root, ManagerConfig& out) const {
@@ -311,35 +312,77 @@
   } catch (Stop& stop) { return std::move(stop.fault); }
 }
 
-std::string not_reloadable(const ManagerConfig& old, const ManagerConfig& fresh) {
-  if (old.name != fresh.name) return "the manager's name";
-  if (!(old.listen == fresh.listen)) return "listen";
-  if (!(old.login == fresh.login)) return "engine-links";
-  if (old.zones != fresh.zones) return "zones";
-  if (old.kinds != fresh.kinds) return "kinds";
-  const Settings &a = old.core.module, &b = fresh.core.module;
-  if (a.classes.size() != b.classes.size()) return "classes";
-  for (std::size_t i = 0; i < a.classes.size(); ++i) {
-    const ClassSettings &x = a.classes[i], &y = b.classes[i];
-    if (x.name != y.name || x.latency_objective != y.latency_objective || x.deadline != y.deadline ||
-        x.priority_weight != y.priority_weight || x.idempotency != y.idempotency ||
-        x.ordered_by_key != y.ordered_by_key || x.idempotency_window != y.idempotency_window)
-      return "class '" + x.name + "'";
+// ---- Reload ----
+
+namespace {
+
+using Part = FixedSetting::Part;
+
+std::optional<FixedSetting> find_fixed_class_change(const Settings& current, const Settings& fresh) {
+  if (current.classes.size() != fresh.classes.size()) return FixedSetting{Part::classes, {}};
+  for (std::size_t i = 0; i < current.classes.size(); ++i) {
+    const ClassSettings &old_class = current.classes[i], &new_class = fresh.classes[i];
+    if (old_class.name != new_class.name || old_class.latency_objective != new_class.latency_objective ||
+        old_class.deadline != new_class.deadline || old_class.priority_weight != new_class.priority_weight ||
+        old_class.idempotency != new_class.idempotency ||
+        old_class.ordered_by_key != new_class.ordered_by_key ||
+        old_class.idempotency_window != new_class.idempotency_window)
+      return FixedSetting{Part::one_class, old_class.name};
   }
-  if (a.tenants.size() != b.tenants.size()) return "tenants";
-  for (std::size_t i = 0; i < a.tenants.size(); ++i) {
-    if (a.tenants[i].name != b.tenants[i].name || a.tenants[i].quota_per_s != b.tenants[i].quota_per_s)
-      return "tenants";
+  return std::nullopt;
+}
+
+bool have_same_tenants(const Settings& current, const Settings& fresh) {
+  return std::equal(current.tenants.begin(), current.tenants.end(), fresh.tenants.begin(),
+                    fresh.tenants.end(), [](const TenantSettings& left, const TenantSettings& right) {
+                      return left.name == right.name && left.quota_per_s == right.quota_per_s;
+                    });
+}
+
+bool have_same_decisions(const Settings& current, const Settings& fresh) {
+  return current.instances == fresh.instances && current.instance_index == fresh.instance_index &&
+         current.seed == fresh.seed && current.clock_step == fresh.clock_step &&
+         current.max_attempts == fresh.max_attempts && current.drain_grace == fresh.drain_grace;
+}
+
+bool have_same_limits(const core::CoreSettings& current, const core::CoreSettings& fresh) {
+  return current.channels_per_engine == fresh.channels_per_engine &&
+         current.connect_timeout == fresh.connect_timeout && current.answer_buffer == fresh.answer_buffer &&
+         current.buffers_in_total == fresh.buffers_in_total;
+}
+
+}  // namespace
+
+std::string FixedSetting::text() const {
+  switch (part) {
+    case Part::manager_name: return "the manager's name";
+    case Part::listen: return "listen";
+    case Part::engine_login: return "engine-links";
+    case Part::zones: return "zones";
+    case Part::kinds: return "kinds";
+    case Part::classes: return "classes";
+    case Part::one_class: return "class '" + class_name + "'";
+    case Part::tenants: return "tenants";
+    case Part::decisions: return "decisions";
+    case Part::channel_or_buffer_limits: return "engine-links or buffers";
+    case Part::engines_file_name: return "the name of the engines' file";
   }
-  if (a.instances != b.instances || a.instance_index != b.instance_index || a.seed != b.seed ||
-      a.clock_step != b.clock_step || a.max_attempts != b.max_attempts || a.drain_grace != b.drain_grace)
-    return "decisions";
-  const core::CoreSettings &p = old.core, &q = fresh.core;
-  if (p.channels_per_engine != q.channels_per_engine || p.connect_timeout != q.connect_timeout ||
-      p.answer_buffer != q.answer_buffer || p.buffers_in_total != q.buffers_in_total)
-    return "engine-links or buffers";
-  if (old.engines_file != fresh.engines_file) return "the name of the engines' file";
   return {};
 }
 
+std::optional<FixedSetting> find_fixed_change(const ManagerConfig& current, const ManagerConfig& fresh) {
+  if (current.name != fresh.name) return FixedSetting{Part::manager_name, {}};
+  if (!(current.listen == fresh.listen)) return FixedSetting{Part::listen, {}};
+  if (!(current.login == fresh.login)) return FixedSetting{Part::engine_login, {}};
+  if (current.zones != fresh.zones) return FixedSetting{Part::zones, {}};
+  if (current.kinds != fresh.kinds) return FixedSetting{Part::kinds, {}};
+  const Settings &current_module = current.core.module, &fresh_module = fresh.core.module;
+  if (auto changed = find_fixed_class_change(current_module, fresh_module)) return changed;
+  if (!have_same_tenants(current_module, fresh_module)) return FixedSetting{Part::tenants, {}};
+  if (!have_same_decisions(current_module, fresh_module)) return FixedSetting{Part::decisions, {}};
+  if (!have_same_limits(current.core, fresh.core)) return FixedSetting{Part::channel_or_buffer_limits, {}};
+  if (current.engines_file != fresh.engines_file) return FixedSetting{Part::engines_file_name, {}};
+  return std::nullopt;
+}
+
 }  // namespace paddlestand::config
--- a/src/config/manager_config.hpp
+++ b/src/config/manager_config.hpp
@@ -2,7 +2,9 @@
 /// to the terms of the code. See docs/operators/settings.md.
 #pragma once
 
+#include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <variant>
 #include <vector>
@@ -69,7 +71,31 @@
 std::variant<std::vector<ListedEngine>, Fault> read_engine_list(const std::string& path,
                                                                 const ManagerConfig& config);
 
-/// The setting that differs and can't be changed while the manager runs; empty where a reload may proceed.
-std::string not_reloadable(const ManagerConfig& old, const ManagerConfig& fresh);
+/// A setting that can't be changed while the manager runs.
+struct FixedSetting {
+  enum class Part : std::uint8_t {
+    manager_name,
+    listen,
+    engine_login,
+    zones,
+    kinds,
+    classes,  ///< their number
+    one_class,  ///< of `class_name`
+    tenants,
+    decisions,
+    channel_or_buffer_limits,
+    engines_file_name,
+  };
+
+  Part part{};
+  std::string class_name;  ///< empty unless `part` is one_class
+
+  /// The setting's name for operators, in the words of the settings file.
+  [[nodiscard]] std::string text() const;
+};
+
+/// The first setting that differs and can't be changed while the manager runs; none where a reload may
+/// proceed.
+std::optional<FixedSetting> find_fixed_change(const ManagerConfig& current, const ManagerConfig& fresh);
 
 }  // namespace paddlestand::config
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -8,9 +8,13 @@
 namespace paddlestand::config {
 namespace {
 
+using ErrorKind = SettingsError::Kind;
+
 constexpr std::size_t max_items = 4096;  // more classes, kinds or tenants are damage
+constexpr double max_index = 65535;  // of a zone or kind
+constexpr std::size_t max_quoted_bytes = 80;  // of a value, in an error's text
 
-/// The lines path=value of the settings. Keeps the first problem that it met.
+/// The lines path=value of the settings. Keeps the first error that it met.
 class Reader {
  public:
   explicit Reader(std::string_view text) {
@@ -22,7 +26,7 @@
       if (line.empty()) continue;
       const auto equals = line.find('=');
       if (equals == std::string_view::npos) {
-        complain("settings line without '=': " + std::string(line.substr(0, 80)));
+        report({ErrorKind::missing_equals_sign, {}, std::string(line), {}});
         continue;
       }
       values_.insert_or_assign(std::string(line.substr(0, equals)), std::string(line.substr(equals + 1)));
@@ -30,7 +34,7 @@
   }
 
   [[nodiscard]] bool has(const std::string& key) const { return values_.contains(key); }
-  [[nodiscard]] const std::string& problem() const { return problem_; }
+  [[nodiscard]] const std::optional<SettingsError>& error() const { return error_; }
 
   std::string text(const std::string& key) const {
     const auto found = values_.find(key);
@@ -46,8 +50,9 @@
   template <typename T>
   T integer(const std::string& key, T otherwise = T{}) {
     const auto value = number<double>(key, static_cast<double>(otherwise));
-    if (!std::isfinite(value) || value < 0 || value >= static_cast<double>(std::numeric_limits<T>::max())) {
-      complain("settings value out of range: " + key);
+    constexpr auto max = static_cast<double>(std::numeric_limits<T>::max());
+    if (!std::isfinite(value) || value < 0 || value >= max) {
+      report({ErrorKind::out_of_range, key, text(key), max});
       return otherwise;
     }
     return static_cast<T>(value);
@@ -89,7 +94,7 @@
     if (!has(key)) return otherwise;
     const auto found = words.find(text(key));
     if (found != words.end()) return found->second;
-    complain("settings value not understood: " + key + "=" + text(key).substr(0, 80));
+    report({ErrorKind::unknown_choice, key, text(key), {}});
     return otherwise;
   }
 
@@ -97,8 +102,8 @@
     if (!has(key)) return std::nullopt;
     std::vector<std::uint32_t> items;
     for (const double item : numbers(key)) {
-      if (item < 0 || item > 65535) {
-        complain("settings value out of range: " + key);
+      if (item < 0 || item > max_index) {
+        report({ErrorKind::out_of_range, key, text(key), max_index});
       } else {
         items.push_back(static_cast<std::uint32_t>(item));
       }
@@ -107,14 +112,15 @@
   }
 
   std::size_t count(const std::string& key) {
-    const auto items = integer<std::size_t>(key + ".count");
+    const std::string count_key = key + ".count";
+    const auto items = integer<std::size_t>(count_key);
     if (items <= max_items) return items;
-    complain("settings count too large: " + key);
+    report({ErrorKind::count_too_large, key, text(count_key), static_cast<double>(max_items)});
     return 0;
   }
 
-  void complain(std::string text) {
-    if (problem_.empty()) problem_ = std::move(text);
+  void report(SettingsError error) {
+    if (!error_) error_ = std::move(error);
   }
 
  private:
@@ -123,20 +129,18 @@
     T result{};
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), result);
     if (error == std::errc{} && end == value.data() + value.size()) return result;
-    complain("settings value is no number: " + key + "=" + value.substr(0, 80));
+    report({ErrorKind::not_a_number, key, value, {}});
     return otherwise;
   }
 
   bool parse_flag(const std::string& key, const std::string& value) {
     if (value == "true" || value == "1") return true;
-    if (value != "false" && value != "0") {
-      complain("settings value is neither true nor false: " + key + "=" + value.substr(0, 80));
-    }
+    if (value != "false" && value != "0") report({ErrorKind::not_a_flag, key, value, {}});
     return false;
   }
 
   std::map<std::string, std::string> values_;
-  std::string problem_;
+  std::optional<SettingsError> error_;
 };
 
 template <typename T>
@@ -244,7 +248,20 @@
 
 }  // namespace
 
-std::variant<ParsedSettings, std::string> parse_settings(std::string_view text) {
+std::string SettingsError::text() const {
+  const std::string quoted = value.substr(0, max_quoted_bytes);
+  switch (kind) {
+    case Kind::missing_equals_sign: return "settings line without '=': " + quoted;
+    case Kind::not_a_number: return "settings value is no number: " + key + "=" + quoted;
+    case Kind::not_a_flag: return "settings value is neither true nor false: " + key + "=" + quoted;
+    case Kind::unknown_choice: return "settings value not understood: " + key + "=" + quoted;
+    case Kind::out_of_range: return "settings value out of range: " + key;
+    case Kind::count_too_large: return "settings count too large: " + key;
+  }
+  return {};
+}
+
+std::variant<ParsedSettings, SettingsError> parse_settings(std::string_view text) {
   Reader in(text);
   ParsedSettings parsed;
   Settings& out = parsed.settings;
@@ -260,7 +277,7 @@
   read_permissions(in, out);
   read_rules(in, out);
   parsed.report_names = in.list("report.names");
-  if (!in.problem().empty()) return in.problem();
+  if (const auto& error = in.error()) return *error;
   return parsed;
 }
 
--- a/src/config/settings_parser.hpp
+++ b/src/config/settings_parser.hpp
@@ -2,6 +2,8 @@
 /// place where their keys are mapped to the terms of the code.
 #pragma once
 
+#include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <variant>
@@ -18,7 +20,27 @@
   std::vector<std::string> report_names;  ///< the order of the values in a load report
 };
 
-/// The settings, or a message on what can't be read. Unknown keys are skipped.
-std::variant<ParsedSettings, std::string> parse_settings(std::string_view text);
+/// A line of the settings that can't be read.
+struct SettingsError {
+  enum class Kind : std::uint8_t {
+    missing_equals_sign,
+    not_a_number,
+    not_a_flag,  ///< neither true nor false
+    unknown_choice,  ///< none of the words that the setting allows
+    out_of_range,
+    count_too_large,
+  };
+
+  Kind kind{};
+  std::string key;  ///< the setting's path; empty for missing_equals_sign
+  std::string value;  ///< as it was read; for missing_equals_sign the line
+  std::optional<double> max;  ///< the largest value allowed, for out_of_range and count_too_large
+
+  /// The error in a sentence for operators; long values are cut.
+  [[nodiscard]] std::string text() const;
+};
+
+/// The settings, or the first error. Unknown keys are skipped.
+std::variant<ParsedSettings, SettingsError> parse_settings(std::string_view text);
 
 }  // namespace paddlestand::config
--- a/src/core/classify.cpp
+++ b/src/core/classify.cpp
@@ -52,6 +52,21 @@
   return hash == 0 ? 1 : hash;
 }
 
+std::string ClassifierError::text() const {
+  switch (kind) {
+    case Kind::unknown_default_class:
+      return "the class of what no rule speaks of, '" + value + "', is not among: " + joined(known_names);
+    case Kind::unknown_default_tenant: return "tenant '" + value + "' is not among: " + joined(known_names);
+    case Kind::unknown_rule_class:
+      return "a rule names class '" + value + "'; wanted one of: " + joined(known_names);
+    case Kind::unknown_rule_tenant:
+      return "a rule names tenant '" + value + "'; wanted one of: " + joined(known_names);
+    case Kind::invalid_pattern:
+      return "the pattern '" + value + "' is no regular expression: " + pattern_error;
+  }
+  return {};
+}
+
 // ---- Rules ----
 
 struct Classifier::Rule {
@@ -83,33 +98,31 @@
     deadlines_.push_back(one.deadline);
   }
   for (const TenantSettings& one : module.tenants) tenants_.push_back(one.name);
-  if (!index_of(classes_, settings_.class_otherwise)) {
-    report("the class of what no rule speaks of, '" + settings_.class_otherwise +
-           "', is not among: " + joined(classes_));
-  }
+  if (!index_of(classes_, settings_.class_otherwise))
+    report({ClassifierError::Kind::unknown_default_class, settings_.class_otherwise, classes_, {}});
   if (!settings_.tenant_otherwise.empty() && !index_of(tenants_, settings_.tenant_otherwise))
-    report("tenant '" + settings_.tenant_otherwise + "' is not among: " + joined(tenants_));
+    report({ClassifierError::Kind::unknown_default_tenant, settings_.tenant_otherwise, tenants_, {}});
   for (const ClassRule& rule : settings_.rules) add_rule(rule);
 }
 
 void Classifier::add_rule(const ClassRule& settings) {
   Rule rule{settings, index_of(classes_, settings.class_name), index_of(tenants_, settings.tenant), {}};
   if (!settings.class_name.empty() && !rule.class_index)
-    report("a rule names class '" + settings.class_name + "'; wanted one of: " + joined(classes_));
+    report({ClassifierError::Kind::unknown_rule_class, settings.class_name, classes_, {}});
   if (!settings.tenant.empty() && !rule.tenant)
-    report("a rule names tenant '" + settings.tenant + "'; wanted one of: " + joined(tenants_));
+    report({ClassifierError::Kind::unknown_rule_tenant, settings.tenant, tenants_, {}});
   if (!settings.statement.empty()) {
     try {
       rule.pattern.emplace(settings.statement, boost::regex::perl | boost::regex::icase);
     } catch (const boost::regex_error& error) {
-      report("the pattern '" + settings.statement + "' is no regular expression: " + error.what());
+      report({ClassifierError::Kind::invalid_pattern, settings.statement, {}, error.what()});
     }
   }
   rules_.push_back(std::move(rule));
 }
 
-void Classifier::report(const std::string& problem) {
-  if (problem_.empty()) problem_ = problem;
+void Classifier::report(ClassifierError error) {
+  if (!error_) error_ = std::move(error);
 }
 
 // ---- Tags ----
--- a/src/core/classify.hpp
+++ b/src/core/classify.hpp
@@ -44,16 +44,36 @@
   std::string text;
 };
 
+/// Why a classifier can't be used: its settings name a class or tenant that does not exist, or hold a pattern
+/// that is no regular expression.
+struct ClassifierError {
+  enum class Kind : std::uint8_t {
+    unknown_default_class,
+    unknown_default_tenant,
+    unknown_rule_class,
+    unknown_rule_tenant,
+    invalid_pattern,
+  };
+
+  Kind kind{};
+  std::string value;  ///< the name or pattern at fault
+  std::vector<std::string> known_names;  ///< classes or tenants that exist; empty for a pattern
+  std::string pattern_error;  ///< what the regular expression's compiler reports; empty for a name
+
+  /// The error in a sentence for operators.
+  [[nodiscard]] std::string text() const;
+};
+
 class Classifier {
  public:
-  /// Errors in the rules are reported by problem(); such a classifier must not be used.
+  /// Errors in the settings are reported by error(); such a classifier must not be used.
   Classifier(ClassifierSettings settings, const Settings& module);
   ~Classifier();
   Classifier(Classifier&&) noexcept;
   Classifier& operator=(Classifier&&) noexcept;
 
-  /// The first error in the rules; empty: none.
-  [[nodiscard]] const std::string& problem() const { return problem_; }
+  /// The first error in the settings, if any.
+  [[nodiscard]] const std::optional<ClassifierError>& error() const { return error_; }
 
   /// The request without the ids of its session and query, or what the client got wrong.
   [[nodiscard]] std::variant<QueryArrived, Problem> classify(const RequestFacts& facts) const;
@@ -63,7 +83,8 @@
   class TagParser;
 
   void add_rule(const ClassRule& settings);
-  void report(const std::string& problem);
+  /// Keeps the first error.
+  void report(ClassifierError error);
   /// Sets what the tags left open from the first rule that matches.
   void apply_rules(const RequestFacts& facts, TagParser& tags) const;
 
@@ -71,7 +92,7 @@
   std::vector<std::string> classes_, tenants_;
   std::vector<Duration> deadlines_;  // by class
   std::vector<Rule> rules_;
-  std::string problem_;
+  std::optional<ClassifierError> error_;
 };
 
 /// The number of an ordering key or table group that is given as text; never zero. Stable over builds and
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -238,7 +238,8 @@
   std::string lines;
   append_lines(lines, "", settings);
   auto read = config::parse_settings(lines);
-  if (const auto* problem = std::get_if<std::string>(&read)) throw ConfigError{"settings: " + *problem};
+  if (const auto* error = std::get_if<config::SettingsError>(&read))
+    throw ConfigError{"settings: " + error->text()};
   auto& parsed = std::get<config::ParsedSettings>(read);
   if (parsed.settings.classes.empty()) throw ConfigError{"settings: classes; wanted: one or more"};
   config.core.module = std::move(parsed.settings);
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -253,9 +253,9 @@
   }
   reload_retry_.on_success();
   const auto& fresh = std::get<config::ManagerConfig>(read);
-  if (const std::string fixed = config::not_reloadable(config_, fresh); !fixed.empty()) {
+  if (const auto fixed = config::find_fixed_change(config_, fresh)) {
     log_.error(observe::LogEvent::config_reload,
-               "can't be changed while the manager runs: " + fixed + "; nothing is changed");
+               "can't be changed while the manager runs: " + fixed->text() + "; nothing is changed");
     return;
   }
   adopt_settings(fresh);
--- a/tests/bench_adapter/wire_test.cpp
+++ b/tests/bench_adapter/wire_test.cpp
@@ -283,10 +283,30 @@
 }
 
 TEST(SettingsParser, RejectsInvalidValues) {
-  for (const auto* text :
-       {"classes.count=1\nclasses.0.repeat=perhaps\n", "permissions.cancel=maybe\n", "no equals\n",
-        "rules.cold_ns=-5\n", "classes.count=99999999\n", "balancers=nan\n"}) {
-    EXPECT_TRUE(std::holds_alternative<std::string>(config::parse_settings(text))) << text;
+  using Kind = config::SettingsError::Kind;
+  struct Case {
+    const char* settings;
+    Kind kind;
+    const char* text;
+  };
+  const Case cases[] = {
+      {"classes.count=1\nclasses.0.repeat=perhaps\n", Kind::unknown_choice,
+       "settings value not understood: classes.0.repeat=perhaps"},
+      {"permissions.cancel=maybe\n", Kind::not_a_flag,
+       "settings value is neither true nor false: permissions.cancel=maybe"},
+      {"no equals\n", Kind::missing_equals_sign, "settings line without '=': no equals"},
+      {"rules.cold_ns=-5\n", Kind::out_of_range, "settings value out of range: rules.cold_ns"},
+      {"classes.count=99999999\n", Kind::count_too_large, "settings count too large: classes"},
+      {"balancers=nan\n", Kind::out_of_range, "settings value out of range: balancers"},
+      {"rules.tip_multiple=high\n", Kind::not_a_number,
+       "settings value is no number: rules.tip_multiple=high"},
+  };
+  for (const Case& one : cases) {
+    const auto parsed = config::parse_settings(one.settings);
+    const auto* error = std::get_if<config::SettingsError>(&parsed);
+    ASSERT_NE(error, nullptr) << one.settings;
+    EXPECT_EQ(error->kind, one.kind) << one.settings;
+    EXPECT_EQ(error->text(), one.text);
   }
 }
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -105,18 +105,44 @@
 TEST(Config, WhatCannotBeReloadedIsNamed) {
   const auto a = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
   const auto same = std::get<ManagerConfig>(parse_manager_config(manager("^insert", "^update"), "m.xml"));
-  EXPECT_EQ(not_reloadable(a, same), "");
+  EXPECT_FALSE(find_fixed_change(a, same).has_value());
   const auto port = std::get<ManagerConfig>(parse_manager_config(manager("6432", "6433"), "m.xml"));
-  EXPECT_EQ(not_reloadable(a, port), "listen");
+  const auto port_change = find_fixed_change(a, port);
+  ASSERT_TRUE(port_change.has_value());
+  EXPECT_EQ(port_change->part, FixedSetting::Part::listen);
+  EXPECT_EQ(port_change->text(), "listen");
   const auto latency_objective =
       std::get<ManagerConfig>(parse_manager_config(manager("aim=\"1s\"", "aim=\"2s\""), "m.xml"));
-  EXPECT_EQ(not_reloadable(a, latency_objective), "class 'lookup'");
+  const auto class_change = find_fixed_change(a, latency_objective);
+  ASSERT_TRUE(class_change.has_value());
+  EXPECT_EQ(class_change->part, FixedSetting::Part::one_class);
+  EXPECT_EQ(class_change->text(), "class 'lookup'");
+}
+
+TEST(Classifier, NamesTheFirstErrorOfItsSettings) {
+  using Kind = core::ClassifierError::Kind;
+  const auto config = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
+  core::ClassifierSettings settings;
+  settings.class_otherwise = "lookup";
+  settings.rules = {{.user = {},
+                     .database = {},
+                     .application = {},
+                     .statement = {},
+                     .class_name = "nightly",
+                     .tenant = {}}};
+
+  const core::Classifier classifier(settings, config.core.module);
+
+  ASSERT_TRUE(classifier.error().has_value());
+  EXPECT_EQ(classifier.error()->kind, Kind::unknown_rule_class);
+  EXPECT_EQ(classifier.error()->value, "nightly");
+  EXPECT_EQ(classifier.error()->text().find("a rule names class 'nightly'; wanted one of: lookup"), 0U);
 }
 
 TEST(Classifier, TagsFirstThenRulesThenTheRest) {
   auto config = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
   const core::Classifier classifier(config.classifier, config.core.module);
-  ASSERT_EQ(classifier.problem(), "");
+  ASSERT_FALSE(classifier.error().has_value());
   const auto classify = [&](const char* statement, std::vector<std::pair<std::string, std::string>> tags = {},
                             std::optional<Duration> timeout = {}) {
     core::RequestFacts facts;
