--- a/simulation/explorer/action_recorder.cpp
+++ b/simulation/explorer/action_recorder.cpp
@@ -14,7 +14,7 @@
 using core::seeded;
 
 std::string query_text(QueryId query) { return "query " + std::to_string(query); }
-std::string link_text(ChannelId channel) { return "link " + std::to_string(channel); }
+std::string channel_text(ChannelId channel) { return "channel " + std::to_string(channel); }
 
 /// Whether time was up while the channel of a further attempt was opening.
 bool ended_while_reconnecting(const core::Answer& action, const ObservedQuery& observed) {
@@ -47,7 +47,7 @@
   const bool is_stalled = model_.engine_of(*channel).is_stalled;
   channel->transmission = is_stalled ? Transmission::partial : Transmission::complete;
   model_.add_to_trace(query_text(action.query) + (is_stalled ? " half" : "") + " sent on " +
-                      link_text(action.channel) + " to engine " + std::to_string(channel->engine));
+                      channel_text(action.channel) + " to engine " + std::to_string(channel->engine));
   if (!is_stalled) return core::WriteResult::complete;
   model_.cover(CoverageGoal::query_partially_written);
   return core::WriteResult::partial;
@@ -84,7 +84,7 @@
   channel.engine_incarnation = model_.engine_of(channel).incarnation;
   channel.is_probe = action.use == core::ChannelUse::probe;
   manager_.channels.push_back(std::move(channel));
-  model_.add_to_trace(link_text(action.channel) + " opens to engine " + std::to_string(action.engine));
+  model_.add_to_trace(channel_text(action.channel) + " opens to engine " + std::to_string(action.engine));
 }
 
 void ActionRecorder::execute(const core::CancelOnEngine& action) {
@@ -97,7 +97,7 @@
     }
   }
   channel->pending_cancel = target;
-  model_.add_to_trace("cancel sent for " + link_text(channel->id));
+  model_.add_to_trace("cancel sent for " + channel_text(channel->id));
 }
 
 void ActionRecorder::execute(const core::UpdateResourceGrant&) {}
@@ -107,7 +107,7 @@
       std::find_if(manager_.channels.begin(), manager_.channels.end(),
                    [&action](const EngineSideChannel& candidate) { return candidate.id == action.channel; });
   if (channel == manager_.channels.end() || seeded(Defect::close_not_carried_out)) return;
-  model_.add_to_trace(link_text(action.channel) + " closes");
+  model_.add_to_trace(channel_text(action.channel) + " closes");
   if (channel->pending_cancel) model_.cover(CoverageGoal::cancel_after_close);
   if (!channel->carries_query()) {
     manager_.channels.erase(channel);
@@ -135,7 +135,7 @@
 void ActionRecorder::execute(const core::Deliver& action) {
   EngineSideChannel* channel = manager_.find_channel(action.channel);
   if (channel == nullptr) {
-    report(Invariant::own_rows, "rows of no link are delivered");
+    report(Invariant::own_rows, "rows of no channel are delivered");
     return;
   }
   std::size_t client_index = client_of(action.session);
@@ -145,7 +145,8 @@
   Client& client = manager_.clients[client_index];
   client.undelivered_bytes += static_cast<std::uint32_t>(action.bytes);
   if (client.undelivered_bytes > model_.scope_->core.client_window + large_part_bytes)
-    report(Invariant::bounds, "client " + std::to_string(client_index) + " is owed more than its window");
+    report(Invariant::bounds,
+           "client " + std::to_string(client_index) + " has more undelivered bytes than its window");
   if (client.is_reading) {
     model_.dispatch(manager_index_,
                     core::ClientConsumed{action.session, std::exchange(client.undelivered_bytes, 0)});
@@ -173,7 +174,7 @@
 // ---- Answers ----
 
 void ActionRecorder::execute(const core::Answer& action) {
-  static constexpr std::array<std::string_view, 4> kinds{"served", "refused", "failed", "cancelled"};
+  static constexpr std::array<std::string_view, 4> kinds{"served", "rejected", "failed", "cancelled"};
   ObservedQuery& observed = manager_.queries[action.query];
   model_.add_to_trace(query_text(action.query) +
                       " is answered: " + std::string(kinds[static_cast<std::size_t>(action.kind)]));
@@ -202,7 +203,7 @@
     report(Invariant::own_cancel,
            query_text(action.query) + " is cancelled, and its client asked for another's cancel");
   }
-  // The order of the service: it takes what was pipelined, then writes the answer, which shows whether the
+  // The order of the service: it accepts what was pipelined, then writes the answer, which shows whether the
   // connection is broken.
   submit_pipelined_query(client_index);
   disconnect_if_broken(client_index);
@@ -227,11 +228,9 @@
 
 // ---- The manager itself ----
 
-void ActionRecorder::execute(const core::LogMessage& action) {
-  model_.add_to_trace("remark: " + action.text);
-}
+void ActionRecorder::execute(const core::LogMessage& action) { model_.add_to_trace("log: " + action.text); }
 
-void ActionRecorder::execute(const core::ShutdownComplete&) { model_.add_to_trace("the manager has left"); }
+void ActionRecorder::execute(const core::ShutdownComplete&) { model_.add_to_trace("shutdown is complete"); }
 
 void ActionRecorder::on_violation(const InvariantViolation& violation) {
   model_.violations_.push_back(violation);
--- a/simulation/explorer/coverage.cpp
+++ b/simulation/explorer/coverage.cpp
@@ -4,20 +4,20 @@
 namespace {
 
 constexpr std::array<std::string_view, coverage_goal_count> goal_names{
-    "a late answer after a resend",
+    "a late answer after a retry",
     "a cancel racing a drain notice",
     "a drain notice racing the send",
     "answer, then time-out, in one step",
     "time-out, then answer, in one step",
-    "client gone between two attempts",
-    "full from every engine",
+    "client disconnects between two attempts",
+    "rejected by every engine",
     "an engine removed and back within the grace",
-    "a key's rest ending while an attempt is out",
-    "a deadline between resend and connect",
-    "a note for an ended attempt",
+    "a key's settle time ending while an attempt is active",
+    "a deadline between retry and connect",
+    "a progress report for an ended attempt",
     "shutdown with everything in flight",
-    "an answer at a link being cancelled",
-    "a resend after a reset",
+    "an answer on a channel being cancelled",
+    "a retry after a reset",
     "a cancel that comes after the end",
     "a query of which half was written"};
 
--- a/simulation/explorer/digest.hpp
+++ b/simulation/explorer/digest.hpp
@@ -11,7 +11,7 @@
 
 namespace paddlestand::explorer {
 
-/// Visits a state and hashes what it is told. One object for each digest.
+/// Visits a state and hashes its fields. One object for each digest.
 class Digest final : public StateVisitor {
  public:
   /// `engine_names`: what each engine is called, by its id; ids beyond keep theirs. Must outlive this object.
--- a/simulation/explorer/model_describe.cpp
+++ b/simulation/explorer/model_describe.cpp
@@ -10,41 +10,41 @@
 
 /// What happens in each step, by Step; `{}` stands for the subject. A channel's own name goes before it.
 constexpr std::array<std::string_view, step_count> descriptions{
-    "client {} asks query ",
-    "client {} asks for a cancel",
-    "client {} is gone",
-    "client {} reads no more",
-    "client {} is gone, and nobody has seen it yet",
-    "client {} reads on",
-    "is up",
+    "client {} submits query ",
+    "client {} requests a cancel",
+    "client {} disconnects",
+    "client {} stops reading",
+    "client {} disconnects, not noticed yet",
+    "client {} resumes reading",
+    "is open",
     "is refused",
-    "finds no descriptor free",
+    "has no free descriptor to open with",
     "is lost",
-    "brings what is not the protocol",
-    "the rest of the query is written",
+    "violates the protocol",
+    "the remainder of the query is written",
     "part of an answer",
     "a large part of an answer",
     "a large part of an answer, and its end in the same read",
-    "the answer is whole",
-    "the answer is whole, and the engine holds state",
+    "the answer is complete",
+    "the answer is complete, and the channel not reusable",
     "the engine fails",
     "the engine is full",
-    "a note of progress",
+    "a progress report",
     "a cancel strikes",
     "an answer that crossed with its close",
-    "a note that crossed with its close",
-    "engine {} reads nothing",
-    "engine {} reads again",
-    "told that engine {} drains",
-    "told that engine {} is gone",
-    "told that engine {} is back, cold",
-    "told that engine {} has started anew",
-    "told that there is no list",
+    "a progress report that crossed with its close",
+    "engine {} stops reading",
+    "engine {} resumes reading",
+    "notified that engine {} drains",
+    "notified that engine {} was removed",
+    "notified that engine {} is back, warming up",
+    "notified that engine {} has restarted",
+    "notified that discovery failed",
     "time passes, to just before something falls due",
     "time passes, to the moment itself",
-    "the timer comes late",
-    "what is due falls",
-    "the manager is told to leave"};
+    "the timer is late",
+    "what is due fires",
+    "shutdown begins"};
 
 constexpr std::array<std::string_view, query_class_count> class_names{"safe", "keyed", "unsafe", "in turn",
                                                                       "bound"};
@@ -65,7 +65,7 @@
 }
 
 void print_channel(std::ostream& out, const EngineSideChannel& channel) {
-  out << "link " << channel.id << " (engine " << channel.engine;
+  out << "channel " << channel.id << " (engine " << channel.engine;
   if (channel.carries_query()) out << ", query " << channel.query;
   if (channel.is_probe) out << ", probe";
   out << "): ";
--- a/simulation/explorer/model_state.cpp
+++ b/simulation/explorer/model_state.cpp
@@ -150,19 +150,20 @@
   const auto leak = [](std::string what) { return InvariantViolation{Invariant::all_ends, std::move(what)}; };
   for (ManagerState& manager : managers_) {
     const core::Counts counts = manager.dispatcher.counts();
-    if (counts.queries_open > 0) return leak("a query is left, and nothing falls due");
-    if (counts.attempts_out > 0) return leak("an attempt is left, and nothing falls due");
-    if (counts.channels > counts.channels_probing) return leak("a link is left, and nothing falls due");
-    if (counts.bytes_buffered > 0) return leak("bytes are left in a buffer");
+    if (counts.queries_open > 0) return leak("a query remains, and nothing is due");
+    if (counts.attempts_out > 0) return leak("an attempt remains, and nothing is due");
+    if (counts.channels > counts.channels_probing) return leak("a channel remains, and nothing is due");
+    if (counts.bytes_buffered > 0) return leak("bytes remain in a buffer");
     for (const EngineSideChannel& channel : manager.channels) {
       if (!channel.is_closed && !channel.is_probe)
-        return leak("link " + std::to_string(channel.id) + " is open at the host, and nobody's");
+        return leak("channel " + std::to_string(channel.id) +
+                    " is open at the host, and unknown to the coordinator");
     }
     RequestCounter counter;
     manager.dispatcher.coordinator().visit(counter);
     if (counter.requests() > 0) return leak("the module still knows of a request");
     const std::uint32_t shutdown_timers = manager.is_shutting_down ? 1 : 0;
-    if (counts.own_timers > counts.channels_probing + shutdown_timers) return leak("a timer is left");
+    if (counts.own_timers > counts.channels_probing + shutdown_timers) return leak("a timer remains");
   }
   return std::nullopt;
 }
--- a/simulation/explorer/replay.cpp
+++ b/simulation/explorer/replay.cpp
@@ -82,7 +82,7 @@
 }
 
 InvariantViolation endless_violation() {
-  return {Invariant::all_ends, "without any fault more it does not come to an end"};
+  return {Invariant::all_ends, "with no more faults it does not end"};
 }
 
 std::vector<Move> shrink(const Scope& scope, std::vector<Move> moves, Invariant invariant) {
--- a/simulation/explorer/scope.cpp
+++ b/simulation/explorer/scope.cpp
@@ -137,7 +137,7 @@
                          scope_of("defects: two clients", {safe, next}, 1, 1),
                          scope_of("defects: two faults", {unsafe}, 1, 2),
                          scope_of("defects: two engines", {turn, next_turn}, 2, 1)};
-  // Just over half of it a second attempt is decided on, and its channel may take what is left.
+  // Just over half of it a second attempt is decided on, and its channel may use up what remains.
   for (ClassSettings& settings : all[3].core.module.classes)
     settings.idempotency_window = std::chrono::milliseconds(540);
   all[6].core.module.overload_window =
@@ -149,7 +149,7 @@
   // A budget that one query can use up.
   all.push_back(scope_of("defects: no further attempt", {safe}, 2, 2));
   all.back().core.module.retry_budget = RetryBudgetSettings{0, 0, std::chrono::seconds(2)};
-  // One that has just started can take one query, not two.
+  // One that warms up can run one query, not two.
   all.push_back(scope_of("defects: a cold engine", {safe, next}, 1, 1));
   all.back().core.module.slow_start_capacity_share = 0.0079;
   for (Scope& scope : all) assign_zones(scope);
--- a/simulation/explorer/search.cpp
+++ b/simulation/explorer/search.cpp
@@ -185,7 +185,8 @@
         at = nodes_[at].fault_free_successor;
       }
       if (at != no_node && state[at] == on_path) {
-        report_found(at, std::nullopt, {{Invariant::all_ends, "time goes in a circle, and nothing ends"}});
+        report_found(at, std::nullopt,
+                     {{Invariant::all_ends, "time passes in a cycle of states, and nothing ends"}});
         return;
       }
       for (const Index node : path) state[node] = ends;
--- a/simulation/explorer/seeded_main.cpp
+++ b/simulation/explorer/seeded_main.cpp
@@ -4,7 +4,7 @@
 #include "apps/commands.hpp"
 
 int main(int argc, char** argv) {
-  CLI::App app{"paddlestand-seeded: the explorer over a heart with seeded defects"};
+  CLI::App app{"paddlestand-seeded: the explorer over a core with seeded defects"};
   app.require_subcommand(1);
   int result = 0;
   paddlestand::app::add_explore(app, result);
--- a/src/core/connection_choice.cpp
+++ b/src/core/connection_choice.cpp
@@ -10,7 +10,7 @@
 /// connections that earlier attempts used.
 constexpr std::size_t max_times_usual = 2;
 
-/// The idle connection that was heard from last.
+/// The idle connection whose last bytes arrived most recently.
 std::optional<std::size_t> find_idle(std::span<const ConnectionFacts> connections) {
   std::optional<std::size_t> best;
   for (std::size_t i = 0; i < connections.size(); ++i) {
--- a/src/core/connection_choice.hpp
+++ b/src/core/connection_choice.hpp
@@ -28,9 +28,9 @@
   std::size_t index = 0;  ///< of the existing one
 };
 
-/// Chooses the idle connection that was heard from last; else a new one, within the engine's share of the
-/// descriptors; else the one with the fewest streams. Where only its id excludes the stream from connections
-/// with free capacity, a new one may be opened beyond the engine's share, up to twice that.
+/// Chooses the idle connection whose last bytes arrived most recently; else a new one, within the engine's
+/// share of the descriptors; else the one with the fewest streams. Where only its id excludes the stream from
+/// connections with free capacity, a new one may be opened beyond the engine's share, up to twice that.
 ///
 /// A probe prefers a new connection: it tests whether the engine can be reached, and an old idle connection
 /// may hang although it can.
--- a/src/core/coordinator_answers.cpp
+++ b/src/core/coordinator_answers.cpp
@@ -42,7 +42,7 @@
   if (found == sessions_.end()) return;  // its close crossed with the write
   SessionRecord& session = found->second;
   if (event.bytes > session.undelivered_bytes)
-    fail_assertion("session", event.session, "took more than was delivered");
+    fail_assertion("session", event.session, "consumed more than was delivered");
   session.undelivered_bytes -= event.bytes;
   buffers_.on_consumed(event.bytes);
   if (!session.state.is(SessionState::active)) return;
@@ -77,7 +77,7 @@
   }
   if (query.state.is(QueryState::open)) {
     if (!buffer_is_full) return;
-    query.state.go(QueryState::streaming, "answer is larger than what is kept");
+    query.state.go(QueryState::streaming, "answer is larger than its buffer");
     notify_module(AnswerStarted{query.id});
   }
   deliver(event.channel, *channel, query);
@@ -94,7 +94,7 @@
     end_probe(event.channel, is_healthy ? AttemptResult::served : AttemptResult::engine_error, event.report);
     return;
   }
-  if (!channel->query) fail_assertion("link", event.channel, "an answer ended where none was asked for");
+  if (!channel->query) fail_assertion("channel", event.channel, "an answer ended that no query was sent for");
   const bool is_reusable = parts::Rules::is_reusable(*channel, event);
   mark_sent(*channel);
   if (parts::Rules::resumes_at_answer_end(*channel)) resume_if_paused(event.channel, *channel);
--- a/src/core/coordinator_channels.cpp
+++ b/src/core/coordinator_channels.cpp
@@ -14,7 +14,7 @@
 
 void QueryCoordinator::close_channel(ChannelId id) {
   ChannelRecord& channel = channels_.at(id);
-  if (channel.query) fail_assertion("link", id, "closed under an attempt");
+  if (channel.query) fail_assertion("channel", id, "closed under an attempt");
   if (channel.state.is(ChannelState::sending)) parts::Rules::withdraw_sends(*host_actions_, id);
   channel.state.go(ChannelState::closed, "closed");
   timers_.disarm(channel.timer);
@@ -48,7 +48,7 @@
 void QueryCoordinator::on(const ChannelOpened& event) {
   ChannelRecord* channel = find_channel(event.channel);
   if (channel == nullptr) return;
-  channel->state.go(ChannelState::idle, "up");
+  channel->state.go(ChannelState::idle, "opened");
   if (channel->use == ChannelUse::probe) {
     channel->state.go(ChannelState::sending, "probe goes out");
     emit(SendProbe{event.channel});
--- a/src/core/coordinator_rules.hpp
+++ b/src/core/coordinator_rules.hpp
@@ -27,7 +27,8 @@
     timers.disarm(attempt.timeout);
   }
 
-  /// Takes the attempt off a channel that is still opening. The channel may come up and serve another query.
+  /// Detaches the attempt from a channel that is still opening. The channel may come up and serve another
+  /// query.
   static void detach_attempt(ChannelRecord& channel, TimerService&) { channel.query.reset(); }
 
   // ---- Channels ----
--- a/src/core/coordinator_state.cpp
+++ b/src/core/coordinator_state.cpp
@@ -1,4 +1,4 @@
-// What the query coordinator tells about itself: counts, consistency checks, and the state visitor.
+// What the query coordinator reports about itself: counts, consistency checks, and the state visitor.
 #include <algorithm>
 
 #include "query_coordinator.hpp"
@@ -37,13 +37,14 @@
     if (!session.state.is(SessionState::active)) continue;
     const auto query = queries_.find(session.query);
     if (query == queries_.end() || query->second.is_finished())
-      fail_assertion("session", id, "waits for a query that is over");
+      fail_assertion("session", id, "waits for a query that is finished");
   }
 }
 
 void QueryCoordinator::check_queries() const {
   for (const auto& [id, query] : queries_) {
-    if (query.is_finished() && !query.has_active_attempt()) fail_assertion("query", id, "is over, and kept");
+    if (query.is_finished() && !query.has_active_attempt())
+      fail_assertion("query", id, "is finished, and its record remains");
     for (std::size_t i = 0; i < query.attempts.size(); ++i) check_attempt(query, i);
   }
 }
@@ -51,15 +52,15 @@
 void QueryCoordinator::check_attempt(const QueryRecord& query, std::size_t attempt_index) const {
   const AttemptRecord& attempt = query.attempts[attempt_index];
   if (attempt.is_active() == attempt.result.has_value())
-    fail_assertion("query", query.id, "an attempt without just one outcome");
+    fail_assertion("query", query.id, "an attempt both active and ended, or neither");
   if (!attempt.channel) {
-    if (attempt.is_active()) fail_assertion("query", query.id, "an attempt is out on no link");
+    if (attempt.is_active()) fail_assertion("query", query.id, "an attempt is active without a channel");
     return;
   }
   const auto channel = channels_.find(*attempt.channel);
   if (channel == channels_.end() || channel->second.query != query.id ||
       channel->second.attempt_index != attempt_index)
-    fail_assertion("query", query.id, "attempt and link disagree");
+    fail_assertion("query", query.id, "attempt and channel disagree");
 }
 
 void QueryCoordinator::check_channels() const {
@@ -70,16 +71,16 @@
   const bool is_idle = channel.state.is(ChannelState::idle);
   const bool is_opening = channel.state.is(ChannelState::opening);
   const bool needs_timer = is_idle || is_opening || channel.state.is(ChannelState::cancelling);
-  if (needs_timer && !channel.timer) fail_assertion("link", id, "nothing would ever end it");
+  if (needs_timer && !channel.timer) fail_assertion("channel", id, "no timer would end it");
   if (channel.paused) {
     const auto session =
         channel.query ? sessions_.find(queries_.at(*channel.query).session) : sessions_.end();
     if (session == sessions_.end() || session->second.undelivered_bytes == 0)
-      fail_assertion("link", id, "is not read, and no client is slow");
+      fail_assertion("channel", id, "is paused, and no client is slow");
   }
-  if (is_idle && channel.query) fail_assertion("link", id, "idle under an attempt");
+  if (is_idle && channel.query) fail_assertion("channel", id, "idle under an attempt");
   if (channel.use == ChannelUse::query && !is_idle && !is_opening && !channel.query)
-    fail_assertion("link", id, "in use for nothing");
+    fail_assertion("channel", id, "in use without a query");
 }
 
 void QueryCoordinator::check_pools() const {
@@ -87,9 +88,10 @@
   for (const auto& [id, channel] : channels_)
     if (channel.use == ChannelUse::query) ++channels[channel.engine];
   for (const auto& [engine, pool] : pools_) {
-    if (pool.channels() != channels[engine]) fail_assertion("pool of engine", engine, "links are miscounted");
+    if (pool.channels() != channels[engine])
+      fail_assertion("pool of engine", engine, "channels are miscounted");
     if (pool.channels() > settings_->channels_per_engine)
-      fail_assertion("pool of engine", engine, "more links than allowed");
+      fail_assertion("pool of engine", engine, "more channels than allowed");
   }
 }
 
@@ -97,11 +99,11 @@
   std::size_t bytes = 0;
   for (const auto& [id, session] : sessions_) bytes += session.undelivered_bytes;
   for (const auto& [id, channel] : channels_) bytes += channel.buffered_bytes;
-  if (bytes != buffers_.total()) fail_assertion("conductor", 0, "buffered bytes are miscounted");
+  if (bytes != buffers_.total()) fail_assertion("coordinator", 0, "buffered bytes are miscounted");
   const auto unanswered = std::count_if(queries_.begin(), queries_.end(),
                                         [](const auto& entry) { return !entry.second.is_finished(); });
   if (static_cast<std::size_t>(unanswered) != unanswered_queries_)
-    fail_assertion("conductor", 0, "open queries are miscounted");
+    fail_assertion("coordinator", 0, "open queries are miscounted");
 }
 
 // ---- State visitor ----
--- a/src/core/invariant_checks.cpp
+++ b/src/core/invariant_checks.cpp
@@ -49,13 +49,13 @@
 void InvariantMonitor::check_channel_is_clean(const SendQuery& action, const Channel& channel) {
   const std::string text = query_text(action.query);
   if (!channel.up || channel.use != ChannelUse::query)
-    violation(Invariant::clean_link, text + " is sent on a link that is not up");
+    violation(Invariant::clean_link, text + " is sent on a channel that is not open");
   if (channel.carries_query)
-    violation(Invariant::clean_link, text + " is sent on a link that carries another");
+    violation(Invariant::clean_link, text + " is sent on a channel that carries another query");
   if (channel.cancelled)
-    violation(Invariant::clean_link, text + " is sent on a link that a late cancel can strike");
+    violation(Invariant::clean_link, text + " is sent on a channel that a late cancel can strike");
   if (channel.not_reusable)
-    violation(Invariant::clean_link, text + " is sent on a link that the one before left unclean");
+    violation(Invariant::clean_link, text + " is sent on a channel that is not reusable");
 }
 
 void InvariantMonitor::check_attempts(const SendQuery& action, const Query& query) {
@@ -66,7 +66,7 @@
               text + " is sent again after rows of an earlier attempt went to its client");
   }
   if (query.has_active_attempt())
-    violation(Invariant::one_attempt, text + " is sent while an earlier attempt is out");
+    violation(Invariant::one_attempt, text + " is sent while an earlier attempt is active");
   if (query.attempts.size() >= std::max(settings_->module.max_attempts, 1U))
     violation(Invariant::one_attempt, text + " is sent more often than allowed");
 }
@@ -88,7 +88,7 @@
     return;
   }
   if (now_ > first->sent_at + class_settings.idempotency_window)
-    violation(Invariant::effect_once, text + " after engines forgot its key");
+    violation(Invariant::effect_once, text + " after its idempotency window");
   const EngineEntry& earlier = engines_[first->engine].entry;
   if (!knows_key_of(class_settings.idempotency_scope, earlier, engine.entry))
     violation(Invariant::effect_once, text + " where its key is not known");
@@ -104,7 +104,7 @@
   if (settling == key_order_.settling().end()) return;
   const auto& [until, uncertain_query] = settling->second;
   if (uncertain_query != action.query && now_ < until) {
-    violation(Invariant::order, query_text(action.query) + " is sent while its key rests, since " +
+    violation(Invariant::order, query_text(action.query) + " is sent while its key settles, since " +
                                     query_text(uncertain_query) + " may still run");
   }
 }
@@ -118,8 +118,8 @@
   const std::size_t retries = retry_window_.retries().size();
   const double allowed = budget.floor + budget.share * static_cast<double>(retry_window_.arrivals().size());
   if (static_cast<double>(retries) > allowed + rounding_tolerance) {
-    violation(Invariant::budget, query_text(action.query) + " is further attempt number " +
-                                     std::to_string(retries) + " in its window");
+    violation(Invariant::budget,
+              query_text(action.query) + " is retry number " + std::to_string(retries) + " in its window");
   }
 }
 
@@ -150,8 +150,8 @@
   const double max_work = module.overload_multiple * module.slow_start_capacity_share * cores *
                           static_cast<double>(module.overload_window.count());
   if (static_cast<double>(work.count()) > max_work) {
-    violation(Invariant::cold_engine, query_text(action.query) + " is more than engine " +
-                                          std::to_string(engine.entry.engine) + " can take, cold as it is");
+    violation(Invariant::cold_engine, query_text(action.query) + " is more work than engine " +
+                                          std::to_string(engine.entry.engine) + " can run while it warms up");
   }
 }
 
@@ -162,9 +162,9 @@
   if (action.session != query.session)
     violation(Invariant::one_answer, text + ": another's session is answered");
   if (now_ > query.arrived + query.client_timeout)
-    violation(Invariant::in_time, text + " is answered after its client's patience");
+    violation(Invariant::in_time, text + " is answered after its client timeout");
   if (action.retry_after > settings_->module.max_retry_after || action.retry_after < Duration{})
-    violation(Invariant::advice, text + ": the advice is longer than the longest allowed");
+    violation(Invariant::advice, text + ": its Retry-After is longer than the longest allowed");
   if (action.kind == AnswerKind::cancelled && !query.abandoned)
     violation(Invariant::honest_answer, text + " is called cancelled, and its client did not ask for that");
   if (action.kind == AnswerKind::served) check_served(action, query);
@@ -179,7 +179,7 @@
     if (attempt.complete && is_delivered && query.delivered_bytes == attempt.answer_bytes) return;
   }
   violation(Invariant::whole_answer,
-            query_text(action.query) + " is called served, and its answer was not whole");
+            query_text(action.query) + " is called served, and its answer was not complete");
 }
 
 void InvariantMonitor::check_retry_safety(const Answer& action, const Query& query) {
@@ -189,7 +189,7 @@
   if (class_settings.idempotency == Idempotency::idempotent || knows_key_everywhere) return;
   if (query.first_that_may_have_run() != nullptr) {
     violation(Invariant::honest_answer,
-              query_text(action.query) + " is refused as harmless to repeat, and may have run");
+              query_text(action.query) + " is rejected as safe to retry, and may have run");
   }
 }
 
--- a/src/core/invariant_monitor.cpp
+++ b/src/core/invariant_monitor.cpp
@@ -215,14 +215,15 @@
   Engine& engine = engines_[action.engine];
   ++engine.channels;
   if (engine.channels > settings_->channels_per_engine)
-    violation(Invariant::bounds, "engine " + std::to_string(action.engine) + " has more links than allowed");
+    violation(Invariant::bounds,
+              "engine " + std::to_string(action.engine) + " has more channels than allowed");
 }
 
 void InvariantMonitor::record(const SendQuery& action) {
   Channel* channel = find_channel(action.channel);
   Query* query = find_query(action.query);
   if (channel == nullptr) {
-    violation(Invariant::clean_link, query_text(action.query) + " is sent on a link that is closed");
+    violation(Invariant::clean_link, query_text(action.query) + " is sent on a channel that is closed");
     return;
   }
   if (query == nullptr) {
@@ -245,7 +246,7 @@
   Channel* channel = find_channel(action.channel);
   if (channel == nullptr || !channel->carries_query) {
     violation(Invariant::own_cancel,
-              "a cancel goes to link " + std::to_string(action.channel) + ", which carries nothing");
+              "a cancel goes to channel " + std::to_string(action.channel) + ", which carries no query");
     return;
   }
   channel->cancelled = true;
@@ -264,7 +265,7 @@
 void InvariantMonitor::record(const Deliver& action) {
   Channel* channel = find_channel(action.channel);
   if (channel == nullptr) {
-    violation(Invariant::own_rows, "rows of a closed link are delivered");
+    violation(Invariant::own_rows, "rows of a closed channel are delivered");
     return;
   }
   Query* query = find_query(channel->query);
@@ -278,7 +279,7 @@
   if (query->delivered_bytes > 0 && query->delivered_attempt != channel->attempt_index)
     violation(Invariant::own_rows, text + ": rows of two attempts are delivered");
   if (action.bytes != channel->buffered_bytes)
-    violation(Invariant::whole_answer, text + ": not all that is kept is delivered");
+    violation(Invariant::whole_answer, text + ": not all buffered bytes are delivered");
   query->delivered_bytes += action.bytes;
   query->delivered_attempt = channel->attempt_index;
   channel->buffered_bytes = 0;
--- a/src/core/query_coordinator.cpp
+++ b/src/core/query_coordinator.cpp
@@ -34,7 +34,7 @@
       buffers_(*settings_) {}
 
 void QueryCoordinator::handle(TimePoint now, const CoreEvent& event, std::vector<HostAction>& actions) {
-  if (now < now_) fail_assertion("conductor", 0, "time went back");
+  if (now < now_) fail_assertion("coordinator", 0, "time went back");
   now_ = now;
   host_actions_ = &actions;
   std::visit([this](const auto& host_event) { on(host_event); }, event);
@@ -69,7 +69,7 @@
     notify_module(RequestAbandoned{id});
     process_module_events();
   }
-  session.state.go(SessionState::closed, "client gone");
+  session.state.go(SessionState::closed, "client disconnected");
   buffers_.on_session_closed(session.undelivered_bytes);
   sessions_.erase(found);
 }
@@ -87,7 +87,7 @@
   const auto found = sessions_.find(event.session);
   if (found == sessions_.end()) fail_assertion("session", event.session, "asks, but is not open");
   SessionRecord& session = found->second;
-  session.state.go(SessionState::active, "query came");
+  session.state.go(SessionState::active, "query arrived");
   session.query = event.query;
   const auto [place, is_new] = queries_.emplace(event.query, QueryRecord(event.query, event.session, now_));
   if (!is_new) fail_assertion("query", event.query, "its id came twice");
--- a/src/core/records.hpp
+++ b/src/core/records.hpp
@@ -76,7 +76,7 @@
 
 struct ChannelRecord {
   ChannelRecord(ChannelId channel, EngineId to, ChannelUse what, TimePoint now)
-      : engine(to), use(what), opened_at(now), state("link", channel, ChannelState::opening) {}
+      : engine(to), use(what), opened_at(now), state("channel", channel, ChannelState::opening) {}
 
   EngineId engine;
   ChannelUse use;
--- a/src/core/seeded_defects.hpp
+++ b/src/core/seeded_defects.hpp
@@ -1,6 +1,6 @@
 /// Defects that a test build switches on, one at a time, to show that the explorer finds them. Their names
 /// are those of history files. The faulty code is in seeded_parts.hpp and seeded_coordinator.hpp, and in the
-/// explorer's model of a host; in every other build nothing of it is left.
+/// explorer's model of a host; no other build contains any of it.
 #pragma once
 
 #include <array>
--- a/src/core/timer_service.hpp
+++ b/src/core/timer_service.hpp
@@ -12,7 +12,7 @@
 
 namespace paddlestand::core {
 
-/// A timer of the decision module, which is told its token when it falls due.
+/// A timer of the decision module, which gets its token back when it is due.
 struct ModuleTimer {
   std::uint32_t token{};
 };
--- a/src/decision/admission_controller.hpp
+++ b/src/decision/admission_controller.hpp
@@ -41,7 +41,7 @@
   void record_arrival(const Request& request);
   void record_answer(const Request& request, const Attempt& attempt);
   void record_start(const Request& request, const Attempt& attempt);
-  /// Takes an attempt out of the running cost, when it ends or its engine is ejected: work on an ejected
+  /// Removes an attempt from the running cost, when it ends or its engine is ejected: work on an ejected
   /// engine would only shrink the bound. Does nothing the second time.
   void release_running_cost(const Request& request, Attempt& attempt);
 
--- a/src/decision/attempt_timeouts.cpp
+++ b/src/decision/attempt_timeouts.cpp
@@ -57,8 +57,8 @@
   }
 }
 
-/// Progress reports tell a bad plan from a long request, and work from a lost answer; without them the age
-/// decides.
+/// Progress reports distinguish a bad plan from a long request, and work from a lost answer; without them the
+/// age decides.
 bool AttemptTimeouts::is_overdue(const Request& request, const Attempt& attempt) const {
   const double expected = costs_.expected_run_time(request, attempt);
   if (attempt.last_progress_at >= 0) return is_overdue_by_progress(attempt, expected);
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -89,7 +89,7 @@
 
 double LoadBalancer::draw_load(const Request& request, const Engine& engine, const Weights& weights) {
   const ClassSettings& settings = state_.settings_of(request);
-  // All managers hear the same announcements: unannounced requests would all go where announced ones are
+  // All managers receive the same announcements: unannounced requests would all go where announced ones are
   // fewest.
   const double peer_threads = state_.class_of(request).is_announced ? engine.peer_threads : 0;
   // Managers that see the same must not choose the same, so ties are broken at random.
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -14,7 +14,7 @@
 constexpr double ejection_failure_rate = 0.4;
 /// Time constant with which what was seen of an engine decays, in seconds.
 constexpr double evidence_decay_time = 10;
-/// Time after which nothing is left of what was seen of an engine, in seconds.
+/// Time after which observations of an engine no longer count, in seconds.
 constexpr double evidence_lifetime = 3 * evidence_decay_time;
 constexpr double max_ejection_time = 8.0;  // s
 /// Answers in a row, one at a time, that end a probation.
--- a/src/decision/request_lifecycle.hpp
+++ b/src/decision/request_lifecycle.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The life of a request: held in its class's queue, sent, answered, forgotten. Keeps all counts of what is
+/// The life of a request: queued in its class, sent, answered, removed. Keeps all counts of what is
 /// queued and in flight.
 #pragma once
 
@@ -32,13 +32,13 @@
   void hold(Request& request);
   /// Sends a request to an engine. The caller has checked that the rules allow it.
   void start_attempt(Request& request, Engine& engine);
-  /// Takes an attempt that has ended out of all counts.
+  /// Removes an attempt that has ended from all counts.
   void end_attempt(const Request& request, Attempt& attempt);
 
   /// Gives the final answer now: a rejection where the client may repeat the request, else a failure. Does
   /// nothing for a request that is over.
   void reject_or_fail(Request& request);
-  /// The client has gone: nothing is to be answered.
+  /// The client has disconnected: nothing is to be answered.
   void abandon(Request& request);
   /// Marks a request as answered. The reference may not be used afterwards.
   void close(Request& request);
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(config.engines.at(0).at.port, 7001);
 }
 
-TEST(Config, EachFaultIsToldWithItsLineAndWhatWasWanted) {
+TEST(Config, EachFaultIsReportedWithItsLineAndWhatWasWanted) {
   const std::vector<std::tuple<const char*, const char*, const char*, const char*>> cases{
       {"aim=\"1s\" deadline=\"5s\" repeat=\"safe\"", "aim=\"1\" deadline=\"5s\"", "m.xml:6:", "aim"},
       {"</manager>", "", "m.xml:", ""},
@@ -139,7 +139,7 @@
   EXPECT_EQ(classifier.error()->text().find("a rule names class 'nightly'; wanted one of: lookup"), 0U);
 }
 
-TEST(Classifier, TagsFirstThenRulesThenTheRest) {
+TEST(Classifier, TagsFirstThenRulesThenTheDefault) {
   auto config = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
   const core::Classifier classifier(config.classifier, config.core.module);
   ASSERT_FALSE(classifier.error().has_value());
--- a/tests/core/stream_table_test.cpp
+++ b/tests/core/stream_table_test.cpp
@@ -34,7 +34,7 @@
 
   ASSERT_TRUE(table.reserve(7, 1));
   EXPECT_FALSE(table.channel_of(7));
-  EXPECT_FALSE(table.open(7, 2)) << "not this link's";
+  EXPECT_FALSE(table.open(7, 2)) << "not this connection's";
   EXPECT_FALSE(table.open(8, 1)) << "not reserved";
 }
 
--- a/tests/explorer/explorer_test.cpp
+++ b/tests/explorer/explorer_test.cpp
@@ -78,7 +78,7 @@
                   "none",
                   {{Step::submit_query, 0, 0}, {Step::channel_opened, 0, 1}, {Step::answer_complete, 0, 1}}};
   const std::string text = text_of(history, {});
-  EXPECT_NE(text.find("client 0 asks query 1, safe"), std::string::npos) << text;
+  EXPECT_NE(text.find("client 0 submits query 1, safe"), std::string::npos) << text;
   EXPECT_NE(text.find("query 1 is answered: served"), std::string::npos) << text;
   const auto back = parse_history(text);
   ASSERT_TRUE(std::holds_alternative<History>(back)) << std::get<HistoryError>(back).text();
