--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -116,7 +116,7 @@
   if (engine.health != Health::probation) return;
   engine.probation_successes += 1;
   if (engine.probation_successes < probation_length) return;
-  actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " let back"});
+  actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " readmitted"});
   engine.health = Health::healthy;
   engine.failure_rate = 0;
 }
@@ -163,7 +163,7 @@
   if (engine.health == Health::ejected) return;
   engine.ejection_time = next_ejection_time(engine);
   if (engine.health == Health::healthy) {
-    actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " shunned: " + reason});
+    actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " ejected: " + reason});
     if (engine.is_ready()) state_.fleet.unhealthy_engines += 1;
   }
   engine.health = Health::ejected;
--- a/tests/decision/fleet_size_test.cpp
+++ b/tests/decision/fleet_size_test.cpp
@@ -143,14 +143,14 @@
   harness.request(id);
   for (int i = 0; i < 3; ++i) harness.end(id, AttemptResult::connect_failed);
   ++id;
-  ASSERT_TRUE(harness.logged("engine 1 shunned: not reached"));
+  ASSERT_TRUE(harness.logged("engine 1 ejected: not reached"));
   harness.advance(3s);
   harness.handle(ProbeEnded{1, AttemptResult::served, 1ms, {}});
   for (const RequestId last = id + 20; id < last; ++id) {
     harness.request(id);
     harness.end(id, AttemptResult::served);
   }
-  ASSERT_TRUE(harness.logged("engine 1 let back"));
+  ASSERT_TRUE(harness.logged("engine 1 readmitted"));
   harness.advance(5s);
   const int before = harness.sends_to(1);
   for (const RequestId last = id + 20; id < last; ++id) harness.request(id);
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -35,7 +35,7 @@
   fail_once(fixture, 4, 1);
 
   EXPECT_EQ(engine.health, Health::ejected);
-  EXPECT_EQ(fixture.emitted<Log>().at(0).text, "engine 1 shunned: not reached");
+  EXPECT_EQ(fixture.emitted<Log>().at(0).text, "engine 1 ejected: not reached");
 }
 
 TEST(OutlierDetector, AnEjectedEngineComesBackByAProbeAndAProbation) {
--- a/tests/decision/workload_manager_test.cpp
+++ b/tests/decision/workload_manager_test.cpp
@@ -86,14 +86,14 @@
     EXPECT_EQ(harness.sends(id), 3) << id;
     harness.advance(300ms);
   }
-  EXPECT_FALSE(harness.logged("shunned"));
+  EXPECT_FALSE(harness.logged("ejected"));
 }
 
 // A request that another engine serves is not at fault: its failure counts against the first engine.
 TEST(OutlierDetection, AnEngineThatFailsWhatOthersServeIsEjected) {
   ManagerHarness harness(small_site());
   harness.fleet({engine(1), engine(2), engine(3)});
-  for (RequestId id = 1; id <= 40 && !harness.logged("shunned"); ++id) {
+  for (RequestId id = 1; id <= 40 && !harness.logged("ejected"); ++id) {
     harness.request(id, 0, 100ms, 0, 5s);
     while (harness.engine_of(id) == 2 && harness.count<Fail>(id) + harness.count<Reject>(id) == 0 &&
            harness.sends(id) < 3)
@@ -101,7 +101,7 @@
     if (harness.engine_of(id) != 2) harness.end(id, AttemptResult::served);
     harness.advance(100ms);
   }
-  EXPECT_TRUE(harness.logged("engine 2 shunned: failing fast"));
+  EXPECT_TRUE(harness.logged("engine 2 ejected: failing fast"));
 }
 
 TEST(AdmissionBound, HeldRequestsAreSentInOrderOfArrival) {
@@ -196,7 +196,7 @@
     const std::vector<RequestId> at_first = request_until_three_are_at(harness, 1);
     if (restarted) harness.fleet({engine(1, EngineState::ready, harness.now())}, EndpointUpdate::delta);
     for (const RequestId id : at_first) harness.end(id, AttemptResult::reset);
-    EXPECT_EQ(harness.logged("engine 1 shunned"), !restarted);
+    EXPECT_EQ(harness.logged("engine 1 ejected"), !restarted);
   }
 }
 
@@ -208,7 +208,7 @@
   harness.fleet({engine(1, EngineState::removed)}, EndpointUpdate::delta);
   harness.fleet({engine(1)}, EndpointUpdate::delta);
   for (const RequestId id : at_first) harness.end(id, AttemptResult::reset);
-  EXPECT_FALSE(harness.logged("engine 1 shunned"));
+  EXPECT_FALSE(harness.logged("engine 1 ejected"));
 }
 
 // Guards against an engine that accepts work and answers nothing: its work is cancelled and retried
