--- a/src/core/query_coordinator.hpp
+++ b/src/core/query_coordinator.hpp
@@ -65,6 +65,8 @@
   void visit(StateVisitor& visitor);
 
  private:
+  friend class SeededCoordinator;  // of the test build with seeded defects alone
+
   /// Its life. While draining it rejects new queries; when finished it holds none.
   enum class Lifecycle : std::uint8_t { running, draining, finished };
 
--- a/src/core/seeded_coordinator.hpp
+++ b/src/core/seeded_coordinator.hpp
@@ -21,7 +21,7 @@
     std::vector<HostAction> added(actions.begin() + first_new, actions.end());
     actions.erase(actions.begin() + first_new, actions.end());
     remember_sessions(event, added);
-    if (seeded(Defect::next_attempt_while_cancelling)) end_cancelled_attempts(now, added);
+    if (seeded(Defect::next_attempt_while_cancelling)) end_cancelled_attempts(added);
     if (seeded(Defect::delivers_after_the_answer)) deliver_discarded(event, added);
     if (seeded(Defect::rest_of_answer_lost)) lose_last_part(event, added);
     for (HostAction& action : added) {
@@ -67,21 +67,22 @@
       if (const auto* answer = std::get_if<Answer>(&action)) answered_.insert(answer->query);
   }
 
-  /// Each cancel counts as confirmed at once, though the engine has not ended the attempt; its channel stays.
-  void end_cancelled_attempts(TimePoint now, std::vector<HostAction>& added) {
+  /// Each attempt that the module cancels ends at once as cancelled, though its engine has not confirmed it,
+  /// and its channel stays open without a query.
+  void end_cancelled_attempts(std::vector<HostAction>& added) {
     std::vector<ChannelId> cancelled;
     for (const HostAction& action : added)
       if (const auto* cancel = std::get_if<CancelOnEngine>(&action)) cancelled.push_back(cancel->channel);
-    for (const ChannelId channel : cancelled) {
-      AnswerEnd end;
-      end.channel = channel;
-      end.ending = Ending::cancelled;
-      QueryCoordinator::handle(now, end, added);
-      std::erase_if(added, [&](const HostAction& action) {
-        const auto* close = std::get_if<CloseChannel>(&action);
-        return close != nullptr && close->channel == channel;
-      });
+    host_actions_ = &added;
+    for (const ChannelId id : cancelled) {
+      const ChannelRecord* channel = find_channel(id);
+      if (channel == nullptr || !channel->query) continue;
+      QueryRecord& query = queries_.at(*channel->query);
+      const std::uint32_t attempt_index = channel->attempt_index;
+      if (query.attempts[attempt_index].timed_out) continue;  // the timeout cancels it, not the module
+      end_attempt(query, attempt_index, AttemptResult::cancelled);
     }
+    process_module_events();
   }
 
   /// Parts that arrive after the final answer are delivered instead of discarded.
