--- a/simulation/explorer/scope.cpp
+++ b/simulation/explorer/scope.cpp
@@ -3,19 +3,17 @@
 #include <array>
 #include <chrono>
 
+#include "model_settings.hpp"
+
 namespace paddlestand::explorer {
 namespace {
 
 using namespace std::chrono_literals;
 
 ClassSettings class_settings(std::string name, Idempotency idempotency) {
-  ClassSettings settings;
-  settings.name = std::move(name);
+  ClassSettings settings = model_class_settings(std::move(name));
   settings.latency_objective = 500ms;
   settings.deadline = 715ms;
-  settings.priority_weight = 1;
-  settings.late_answer_weight = 0.5;
-  settings.threads = 1;
   settings.idempotency = idempotency;
   settings.idempotency_scope = IdempotencyScope::zone;
   settings.idempotency_window = 550ms;
@@ -26,9 +24,8 @@
 // converge to the same states, and timers that are due together fire in one step.
 core::CoreSettings core_settings() {
   core::CoreSettings settings;
-  settings.module.instances = 1;
+  settings.module = model_module_settings();
   settings.module.seed = 1;
-  settings.module.clock_step = 5ms;
   settings.module.classes = {class_settings("safe", Idempotency::idempotent),
                              class_settings("keyed", Idempotency::idempotent_with_key),
                              class_settings("unsafe", Idempotency::non_idempotent),
@@ -37,17 +34,9 @@
   settings.module.classes[3].ordered_by_key = true;
   settings.module.classes[4].allowed_zones = std::vector<std::uint32_t>{0};
   settings.module.kinds = {{4, 8192}};
-  settings.module.may_cancel = true;
-  settings.module.may_probe = true;
-  settings.module.may_advise_retry = true;
-  settings.module.max_retry_after = 500ms;
-  settings.module.max_attempts = 3;
-  settings.module.answer_slack = 20ms;
   settings.module.drain_grace = 30ms;  // shorter than a connect may take
   settings.module.ordering_settle_time = 100ms;
-  settings.module.slow_start_capacity_share = 0.3;
   settings.module.slow_start_duration = 400ms;
-  settings.module.overload_multiple = 4;
   settings.module.overload_window = 300ms;
   settings.module.retry_budget = RetryBudgetSettings{1, 0.5, 2s};
   settings.channels_per_engine = 2;
--- a/tests/core/coordinator_harness.hpp
+++ b/tests/core/coordinator_harness.hpp
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "core/query_coordinator.hpp"
+#include "simulation/explorer/model_settings.hpp"
 
 namespace paddlestand::core::test {
 
@@ -15,14 +16,10 @@
 
 /// The classes of small_core(): 0 is idempotent, 1 idempotent with a key and ordered, 2 not idempotent.
 inline std::vector<ClassSettings> small_core_classes() {
-  ClassSettings lookup;
-  lookup.name = "lookup";
+  ClassSettings lookup = explorer::model_class_settings("lookup");
   lookup.latency_objective = 1s;
   lookup.objective_per_run_time = 2;
   lookup.deadline = 5s;
-  lookup.priority_weight = 1;
-  lookup.late_answer_weight = 0.5;
-  lookup.threads = 1;
   ClassSettings load = lookup;
   load.name = "load";
   load.idempotency = Idempotency::idempotent_with_key;
@@ -37,19 +34,10 @@
 /// Settings for a small manager.
 inline CoreSettings small_core() {
   CoreSettings settings;
-  settings.module.instances = 1;
-  settings.module.clock_step = 5ms;
+  settings.module = explorer::model_module_settings();
   settings.module.classes = small_core_classes();
   settings.module.kinds = {{8, 16384}};
-  settings.module.may_cancel = true;
-  settings.module.may_probe = true;
-  settings.module.may_advise_retry = true;
-  settings.module.max_retry_after = 500ms;
-  settings.module.max_attempts = 3;
-  settings.module.answer_slack = 20ms;
   settings.module.drain_grace = 250ms;
-  settings.module.slow_start_capacity_share = 0.3;
-  settings.module.overload_multiple = 4;
   settings.module.overload_window = 1500ms;
   settings.channels_per_engine = 4;
   settings.idle_channels_per_engine = 2;
