--- a/simulation/explorer/action_recorder.cpp
+++ b/simulation/explorer/action_recorder.cpp
@@ -144,9 +144,10 @@
   channel->buffered_rows.clear();
   Client& client = manager_.clients[client_index];
   client.undelivered_bytes += static_cast<std::uint32_t>(action.bytes);
-  if (client.undelivered_bytes > model_.scope_->core.client_window + large_part_bytes)
+  if (client.undelivered_bytes > model_.scope_->core.client_window + large_part_bytes) {
     report(Invariant::bounds,
            "client " + std::to_string(client_index) + " has more undelivered bytes than its window");
+  }
   if (client.is_reading) {
     model_.dispatch(manager_index_,
                     core::ClientConsumed{action.session, std::exchange(client.undelivered_bytes, 0)});
--- a/simulation/explorer/model_state.cpp
+++ b/simulation/explorer/model_state.cpp
@@ -155,9 +155,10 @@
     if (counts.channels > counts.channels_probing) return leak("a channel remains, and nothing is due");
     if (counts.bytes_buffered > 0) return leak("bytes remain in a buffer");
     for (const EngineSideChannel& channel : manager.channels) {
-      if (!channel.is_closed && !channel.is_probe)
+      if (!channel.is_closed && !channel.is_probe) {
         return leak("channel " + std::to_string(channel.id) +
                     " is open at the host, and unknown to the coordinator");
+      }
     }
     RequestCounter counter;
     manager.dispatcher.coordinator().visit(counter);
--- a/src/core/invariant_monitor.cpp
+++ b/src/core/invariant_monitor.cpp
@@ -214,9 +214,10 @@
   if (action.use != ChannelUse::query) return;
   Engine& engine = engines_[action.engine];
   ++engine.channels;
-  if (engine.channels > settings_->channels_per_engine)
+  if (engine.channels > settings_->channels_per_engine) {
     violation(Invariant::bounds,
               "engine " + std::to_string(action.engine) + " has more channels than allowed");
+  }
 }
 
 void InvariantMonitor::record(const SendQuery& action) {
