--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -14,7 +14,7 @@
 constexpr double ejection_failure_rate = 0.4;
 /// Time constant with which what was seen of an engine decays, in seconds.
 constexpr double evidence_decay_time = 10;
-/// Time after which nothing is left of what was seen of an engine, in seconds.
+/// Time after which observations of an engine no longer count, in seconds.
 constexpr double evidence_lifetime = 3 * evidence_decay_time;
 constexpr double max_ejection_time = 8.0;  // s
 /// Answers in a row, one at a time, that end a probation.
@@ -116,7 +116,7 @@
   if (engine.health != Health::probation) return;
   engine.probation_successes += 1;
   if (engine.probation_successes < probation_length) return;
-  actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " let back"});
+  actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " readmitted"});
   engine.health = Health::healthy;
   engine.failure_rate = 0;
 }
@@ -163,7 +163,7 @@
   if (engine.health == Health::ejected) return;
   engine.ejection_time = next_ejection_time(engine);
   if (engine.health == Health::healthy) {
-    actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " shunned: " + reason});
+    actions_.emit(Log{"engine " + std::to_string(engine.entry.engine) + " ejected: " + reason});
     if (engine.is_ready()) state_.fleet.unhealthy_engines += 1;
   }
   engine.health = Health::ejected;
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -258,9 +258,10 @@
   }
   reload_retry_.on_success();
   const auto& fresh = std::get<config::ManagerConfig>(read);
-  if (const std::string fixed = config::not_reloadable(config_, fresh); !fixed.empty()) {
+  if (const auto fixed = config::find_fixed_change(config_, fresh)) {
+    const std::string setting = fixed->text();
     log_.error(observe::LogEvent::config_reload,
-               {{Field::setting, fixed}, {Field::reason, "can't be changed while the manager runs"}},
+               {{Field::setting, setting}, {Field::reason, "can't be changed while the manager runs"}},
                "nothing is changed");
     return;
   }
--- a/tests/bench_adapter/wire_frames.hpp
+++ b/tests/bench_adapter/wire_frames.hpp
@@ -63,7 +63,7 @@
 }
 
 /// An endpoint list under the number `list`.
-inline Frame& add_list(Frame& frame, std::uint32_t list, std::vector<std::uint32_t> engines,
+inline Frame& add_list(Frame& frame, std::uint32_t list, const std::vector<std::uint32_t>& engines,
                        std::uint8_t condition = 1) {
   frame.record(6).put(list).put(static_cast<std::uint32_t>(engines.size()));
   for (const auto id : engines) {
--- a/tests/bench_adapter/wire_test.cpp
+++ b/tests/bench_adapter/wire_test.cpp
@@ -2,6 +2,7 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <array>
 #include <cstring>
 #include <string>
 
@@ -122,8 +123,8 @@
   expect_rejected(Frame{}.record(6).put(std::uint32_t{16}).put(std::uint32_t{0}));
   expect_rejected(Frame{}.record(6).put(std::uint32_t{0}).put(std::uint32_t{0xFFFFFFFF}));
   expect_rejected(Frame{}.put(std::uint8_t{0}));
-  const std::uint8_t tiny[] = {19, 0, 0, 0};
-  const std::uint8_t huge[] = {255, 255, 255, 255};
+  constexpr std::array<std::uint8_t, 4> tiny{19, 0, 0, 0};
+  constexpr std::array<std::uint8_t, 4> huge{255, 255, 255, 255};
   EXPECT_THROW(frame_length(tiny), MalformedFrame);
   EXPECT_THROW(frame_length(huge), MalformedFrame);
 }
--- a/tests/clients/libpq_test.cpp
+++ b/tests/clients/libpq_test.cpp
@@ -2,6 +2,7 @@
 #include <gtest/gtest.h>
 #include <libpq-fe.h>
 
+#include <array>
 #include <memory>
 
 #include "../service/service_harness.hpp"
@@ -72,10 +73,10 @@
 
   const Result prepared(PQprepare(connection.get(), "s", "select $1 /*sim_rows='2'*/", 0, nullptr), PQclear);
   ASSERT_EQ(PQresultStatus(prepared.get()), PGRES_COMMAND_OK) << PQerrorMessage(connection.get());
-  const char* values[] = {"x"};
+  const std::array<const char*, 1> values{"x"};
 
   for (int i = 0; i < 3; ++i) {
-    const Result rows(PQexecPrepared(connection.get(), "s", 1, values, nullptr, nullptr, 0), PQclear);
+    const Result rows(PQexecPrepared(connection.get(), "s", 1, values.data(), nullptr, nullptr, 0), PQclear);
     ASSERT_EQ(PQresultStatus(rows.get()), PGRES_TUPLES_OK) << PQerrorMessage(connection.get());
     EXPECT_EQ(PQntuples(rows.get()), 2);
   }
@@ -83,17 +84,18 @@
   const Result described(PQdescribePrepared(connection.get(), "s"), PQclear);
   EXPECT_EQ(PQnfields(described.get()), 1);
 
-  const Result unknown(PQexecPrepared(connection.get(), "t", 1, values, nullptr, nullptr, 0), PQclear);
+  const Result unknown(PQexecPrepared(connection.get(), "t", 1, values.data(), nullptr, nullptr, 0), PQclear);
   EXPECT_STREQ(PQresultErrorField(unknown.get(), PG_DIAG_SQLSTATE), "26000");
 }
 
 TEST_F(Libpq, SendsPipelinedQueries) {
   const auto connection = connect();
   ASSERT_EQ(PQenterPipelineMode(connection.get()), 1);
-  const char* values[] = {"x"};
+  const std::array<const char*, 1> values{"x"};
 
   for (int i = 0; i < 20; ++i) {
-    ASSERT_EQ(PQsendQueryParams(connection.get(), "select $1", 1, nullptr, values, nullptr, nullptr, 0), 1);
+    ASSERT_EQ(
+        PQsendQueryParams(connection.get(), "select $1", 1, nullptr, values.data(), nullptr, nullptr, 0), 1);
     ASSERT_EQ(PQpipelineSync(connection.get()), 1);
   }
 
@@ -114,8 +116,8 @@
   }));
 
   PGcancel* cancel = PQgetCancel(connection.get());
-  char problem[256];
-  EXPECT_EQ(PQcancel(cancel, problem, sizeof(problem)), 1) << problem;
+  std::array<char, 256> problem{};
+  EXPECT_EQ(PQcancel(cancel, problem.data(), static_cast<int>(problem.size())), 1) << problem.data();
   PQfreeCancel(cancel);
 
   const Result answer(PQgetResult(connection.get()), PQclear);
--- a/tests/core/connection_policy_test.cpp
+++ b/tests/core/connection_policy_test.cpp
@@ -16,15 +16,17 @@
 }
 
 TEST(CallVerdicts, ResourceShortageIsRetriedLater) {
-  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM})
+  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     for (int call = 0; call <= static_cast<int>(SystemCall::read_file); ++call)
       EXPECT_EQ(verdict_of(static_cast<SystemCall>(call), error), CallVerdict::retry_later) << call << error;
+  }
 }
 
 TEST(CallVerdicts, BrokenConnectionHasEnded) {
-  for (const int error : {ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, EBADF, ENOTCONN})
+  for (const int error : {ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, EBADF, ENOTCONN}) {
     for (const SystemCall call : {SystemCall::receive, SystemCall::send})
       EXPECT_EQ(verdict_of(call, error), CallVerdict::ended) << error;
+  }
 }
 
 TEST(CallVerdicts, BlockedCallWaitsUntilReady) {
--- a/tests/core/query_coordinator_channels_test.cpp
+++ b/tests/core/query_coordinator_channels_test.cpp
@@ -173,10 +173,11 @@
     harness.open_channels();
     if (harness.was_sent(id)) {
       const ChannelId channel = harness.channel_of(id);
-      if (harness.actions<OpenChannel>().back().engine == 1)
+      if (harness.actions<OpenChannel>().back().engine == 1) {
         harness.end_answer(channel, Ending::engine_error);
-      else
+      } else {
         harness.end_answer(channel);
+      }
     }
     harness.advance(400ms);
     harness.open_channels();
--- a/tests/platform/jsonrpc_test.cpp
+++ b/tests/platform/jsonrpc_test.cpp
@@ -15,9 +15,7 @@
   EXPECT_EQ(base64("an"), "YW4=");
   EXPECT_EQ(from_base64("YW4="), "an");
   EXPECT_EQ(from_base64(""), "");
-  for (const char* wrong : {"YW4", "YW4==", " YW4", "YW4\n", "YW!=", "====", "Y===",
-                            "YW=="
-                            "YW4="})
+  for (const char* wrong : {"YW4", "YW4==", " YW4", "YW4\n", "YW!=", "====", "Y===", "YW==YW4="})
     EXPECT_FALSE(from_base64(wrong)) << wrong;
 }
 
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -75,8 +75,7 @@
     EnginePeer first = accept_any_engine();
     const auto request = first.next();
     ASSERT_TRUE(request);
-    std::string sent = bytes;
-    first.wire().write(sent);
+    first.wire().write(bytes);
     EXPECT_TRUE(first.wire().is_closed_by_peer()) << id;
     EnginePeer second = accept_any_engine();
     const auto repeated = second.next();
@@ -195,7 +194,7 @@
   }
   RawClient cancelling(server.port());
   cancelling.wire().write(
-      cancelled_requests.substr(0, cancelled_requests.find("\n", cancelled_requests.find("forget")) + 1));
+      cancelled_requests.substr(0, cancelled_requests.find('\n', cancelled_requests.find("forget")) + 1));
   EXPECT_EQ(cancelling.outcome(), "error:-32001");
 
   RawClient flood(server.port());  // forgets of what is not open make no room for more than 32
@@ -266,8 +265,10 @@
   EnginePeer engine(engine_listeners_[0]);
   ASSERT_TRUE(engine.next());
 
+  constexpr int client_count = 300;
   std::vector<RawClient> silent_clients;
-  for (int i = 0; i < 300; ++i) silent_clients.emplace_back(server.port());
+  silent_clients.reserve(client_count);
+  for (int i = 0; i < client_count; ++i) silent_clients.emplace_back(server.port());
   RawClient late_client(server.port());
   late_client.send_request(1, 0x901);
   EnginePeer second(engine_listeners_[0]);
