--- a/tests/core/resource_level_test.cpp
+++ b/tests/core/resource_level_test.cpp
@@ -77,7 +77,7 @@
   for (EngineId generation = 1; generation <= 400; ++generation) {
     manager.handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation)}});
     for (std::uint64_t i = 0; i < 3; ++i)
-      ASSERT_NO_FATAL_FAILURE(run_query(manager, generation * 10 + i, i != 2));
+      ASSERT_NO_FATAL_FAILURE(run_query(manager, std::uint64_t{generation} * 10 + i, i != 2));
     manager.handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation, EngineState::draining)}});
     manager.handle(EndpointsUpdated{EndpointUpdate::delta, {entry(generation, EngineState::removed)}});
     manager.advance(1s);
--- a/tests/service/hard_cases_test.cpp
+++ b/tests/service/hard_cases_test.cpp
@@ -185,11 +185,12 @@
 
   constexpr int queries = 400;  // 20 MB of answers, each small enough to be buffered completely
   std::string pipelined;
-  for (int i = 0; i < queries; ++i)
+  for (int i = 0; i < queries; ++i) {
     pg::put_query(pipelined,
                   "select 1 /*deadline_ms='60000',sim_work_ms='0.01',sim_rows='50',sim_row_bytes='1000'*/");
+  }
   stalled.send(pipelined);
-  ASSERT_TRUE(comes_true([&] { return manager.counts().bytes_buffered > 200 * 1024; }));
+  ASSERT_TRUE(comes_true([&] { return manager.counts().bytes_buffered > std::size_t{200} * 1024; }));
 
   for (int i = 0; i < 200; ++i) {
     ASSERT_EQ(other.execute("select 1"), "TDCZ");
