--- a/apps/explore_defects.cpp
+++ b/apps/explore_defects.cpp
@@ -19,7 +19,7 @@
 void enable_defect([[maybe_unused]] const std::string& name) {
 #ifdef PADDLESTAND_SEEDED_DEFECTS
   for (std::size_t i = 0; i < core::defect_names.size(); ++i) {
-    if (core::defect_names[i] == name) core::defect_on = static_cast<core::Defect>(i);
+    if (core::defect_names[i] == name) core::enabled_defect = static_cast<core::Defect>(i);
   }
 #endif
 }
@@ -83,7 +83,7 @@
     if (result.found) ++found;
     print_defect(options, defect, result);
   }
-  core::defect_on = core::Defect::none;
+  core::enabled_defect = core::Defect::none;
   std::cout << "verdict: " << found << " of " << searched << " seeded defects found\n";
   return found == searched ? exit_success : exit_failure;
 }
--- a/simulation/explorer/action_recorder.cpp
+++ b/simulation/explorer/action_recorder.cpp
@@ -64,8 +64,8 @@
     if (other == manager_.queries.end()) continue;
     if (other->second.query_class == QueryClass::ordered_by_key &&
         other->second.ordering_key == observed.ordering_key) {
-      report(Invariant::order, query_text(query) + " is sent at once while " + query_text(channel.query) +
-                                   " of its key may run");
+      report(Invariant::key_order, query_text(query) + " is sent at once while " + query_text(channel.query) +
+                                       " of its key may run");
     }
   }
 }
@@ -91,7 +91,7 @@
   EngineSideChannel* channel = manager_.find_channel(action.channel);
   if (channel == nullptr) return;
   const QueryId target = channel->query;
-  if (seeded(Defect::cancel_strikes_newest_link)) {
+  if (seeded(Defect::cancel_sent_to_newest_channel)) {
     for (EngineSideChannel& other : manager_.channels) {
       if (!other.is_closed && other.id > channel->id) channel = &other;
     }
@@ -106,7 +106,7 @@
   const auto channel =
       std::find_if(manager_.channels.begin(), manager_.channels.end(),
                    [&action](const EngineSideChannel& candidate) { return candidate.id == action.channel; });
-  if (channel == manager_.channels.end() || seeded(Defect::close_not_carried_out)) return;
+  if (channel == manager_.channels.end() || seeded(Defect::close_not_executed)) return;
   model_.add_to_trace(channel_text(action.channel) + " closes");
   if (channel->pending_cancel) model_.cover(CoverageGoal::cancel_after_close);
   if (!channel->carries_query()) {
@@ -120,7 +120,7 @@
 }
 
 void ActionRecorder::execute(const core::PauseChannel& action) {
-  if (seeded(Defect::pause_not_carried_out)) return;
+  if (seeded(Defect::pause_not_executed)) return;
   EngineSideChannel* channel = manager_.find_channel(action.channel);
   if (channel != nullptr) channel->is_paused = true;
 }
@@ -135,17 +135,18 @@
 void ActionRecorder::execute(const core::Deliver& action) {
   EngineSideChannel* channel = manager_.find_channel(action.channel);
   if (channel == nullptr) {
-    report(Invariant::own_rows, "rows of no channel are delivered");
+    report(Invariant::row_ownership, "rows of no channel are delivered");
     return;
   }
   std::size_t client_index = client_of(action.session);
-  if (seeded(Defect::delivered_to_another)) client_index = (client_index + 1) % manager_.clients.size();
+  if (seeded(Defect::delivered_to_another_client))
+    client_index = (client_index + 1) % manager_.clients.size();
   for (const Row& row : channel->buffered_rows) deliver_row(row, client_index);
   channel->buffered_rows.clear();
   Client& client = manager_.clients[client_index];
   client.undelivered_bytes += static_cast<std::uint32_t>(action.bytes);
   if (client.undelivered_bytes > model_.scope_->core.client_window + large_part_bytes) {
-    report(Invariant::bounds,
+    report(Invariant::resource_limits,
            "client " + std::to_string(client_index) + " has more undelivered bytes than its window");
   }
   if (client.is_reading) {
@@ -158,16 +159,18 @@
   ObservedQuery& observed = manager_.queries[row.query];
   const std::string text = "row " + std::to_string(row.number) + " of " + query_text(row.query);
   if (manager_.clients[client_index].active_query != row.query)
-    report(Invariant::own_rows, text + " goes to client " + std::to_string(client_index));
-  if (observed.is_answered) report(Invariant::nothing_after, text + " is delivered behind the final answer");
+    report(Invariant::row_ownership, text + " goes to client " + std::to_string(client_index));
+  if (observed.is_answered)
+    report(Invariant::nothing_after_final_answer, text + " is delivered behind the final answer");
   if (observed.rows_channel == 0) observed.rows_channel = row.channel;
-  if (observed.rows_channel != row.channel) report(Invariant::own_rows, text + " is another attempt's");
-  if (observed.rows_delivered != row.number) report(Invariant::whole_answer, text + " comes out of its turn");
+  if (observed.rows_channel != row.channel) report(Invariant::row_ownership, text + " is another attempt's");
+  if (observed.rows_delivered != row.number)
+    report(Invariant::complete_answer, text + " comes out of its turn");
   observed.rows_delivered = static_cast<std::uint8_t>(row.number + 1);
 }
 
 void ActionRecorder::execute(const core::Discard& action) {
-  if (seeded(Defect::discard_not_carried_out)) return;
+  if (seeded(Defect::discard_not_executed)) return;
   EngineSideChannel* channel = manager_.find_channel(action.channel);
   if (channel != nullptr) channel->buffered_rows.clear();
 }
@@ -191,7 +194,7 @@
   if (action.kind != core::AnswerKind::served) return;
   const EngineSideChannel* channel = manager_.find_channel(observed.rows_channel);
   if (channel == nullptr || channel->parts() + 1 != observed.rows_delivered)
-    report(Invariant::whole_answer, query_text(action.query) + " is called served, and rows are missing");
+    report(Invariant::complete_answer, query_text(action.query) + " is called served, and rows are missing");
 }
 
 void ActionRecorder::update_client(const core::Answer& action, std::uint32_t client_index) {
@@ -201,7 +204,7 @@
   if (client.undelivered_bytes == 0) client.is_reading = true;
   if (action.kind == core::AnswerKind::cancelled && client.is_connected &&
       client.cancelled_query != action.query) {
-    report(Invariant::own_cancel,
+    report(Invariant::cancel_target,
            query_text(action.query) + " is cancelled, and its client asked for another's cancel");
   }
   // The order of the service: it accepts what was pipelined, then writes the answer, which shows whether the
--- a/simulation/explorer/model_apply.cpp
+++ b/simulation/explorer/model_apply.cpp
@@ -42,7 +42,7 @@
       apply_global_step(move);
     }
   } catch (const std::exception& error) {
-    report_violation(Invariant::no_contradiction, error.what());
+    report_violation(Invariant::consistent_state, error.what());
     return violations_;
   }
   check_consistency();
@@ -58,7 +58,7 @@
     case Step::submit_query: submit_query(move.manager, move.subject); break;
     case Step::cancel_query:
       client.cancelled_query = client.active_query;
-      if (client.active_query == 0 && seeded(Defect::cancel_kept_for_the_next))
+      if (client.active_query == 0 && seeded(Defect::late_cancel_applied_to_next_query))
         client.has_deferred_cancel = true;
       dispatch(move.manager, core::ClientCancelled{manager.session_of(move.subject)});
       break;
@@ -223,8 +223,8 @@
   channel.pending_cancel.reset();
   if (channel.transmission != Transmission::complete) return;
   if (channel.query != target) {
-    report_violation(Invariant::own_cancel, "a cancel for query " + std::to_string(target) +
-                                                " strikes query " + std::to_string(channel.query));
+    report_violation(Invariant::cancel_target, "a cancel for query " + std::to_string(target) +
+                                                   " strikes query " + std::to_string(channel.query));
   }
   end_answer(manager, channel, Ending::cancelled);
 }
--- a/simulation/explorer/model_state.cpp
+++ b/simulation/explorer/model_state.cpp
@@ -142,12 +142,14 @@
   for (ManagerState& manager : managers_) {
     try {
       manager.dispatcher.coordinator().check();
-    } catch (const std::logic_error& error) { report_violation(Invariant::no_contradiction, error.what()); }
+    } catch (const std::logic_error& error) { report_violation(Invariant::consistent_state, error.what()); }
   }
 }
 
 std::optional<InvariantViolation> ModelState::find_leak() {
-  const auto leak = [](std::string what) { return InvariantViolation{Invariant::all_ends, std::move(what)}; };
+  const auto leak = [](std::string what) {
+    return InvariantViolation{Invariant::termination, std::move(what)};
+  };
   for (ManagerState& manager : managers_) {
     const core::Counts counts = manager.dispatcher.counts();
     if (counts.queries_open > 0) return leak("a query remains, and nothing is due");
--- a/simulation/explorer/replay.cpp
+++ b/simulation/explorer/replay.cpp
@@ -27,7 +27,7 @@
 /// The moves that a replay of `moves` makes, if it violates `invariant`.
 std::optional<std::vector<Move>> moves_violating(const Scope& scope, const std::vector<Move>& moves,
                                                  Invariant invariant) {
-  Replay result = invariant == Invariant::all_ends ? replay_to_end(scope, moves) : replay(scope, moves);
+  Replay result = invariant == Invariant::termination ? replay_to_end(scope, moves) : replay(scope, moves);
   const bool violates =
       std::any_of(result.violations.begin(), result.violations.end(),
                   [&](const InvariantViolation& violation) { return violation.invariant == invariant; });
@@ -82,7 +82,7 @@
 }
 
 InvariantViolation endless_violation() {
-  return {Invariant::all_ends, "with no more faults it does not end"};
+  return {Invariant::termination, "with no more faults it does not end"};
 }
 
 std::vector<Move> shrink(const Scope& scope, std::vector<Move> moves, Invariant invariant) {
--- a/simulation/explorer/search.cpp
+++ b/simulation/explorer/search.cpp
@@ -186,7 +186,7 @@
       }
       if (at != no_node && state[at] == on_path) {
         report_found(at, std::nullopt,
-                     {{Invariant::all_ends, "time passes in a cycle of states, and nothing ends"}});
+                     {{Invariant::termination, "time passes in a cycle of states, and nothing ends"}});
         return;
       }
       for (const Index node : path) state[node] = ends;
--- a/src/core/invariant_monitor.cpp
+++ b/src/core/invariant_monitor.cpp
@@ -1,4 +1,4 @@
-// The monitor's account of events and actions.
+// The invariant monitor's records, as updated by events and actions.
 #include "invariant_monitor.hpp"
 
 #include <algorithm>
@@ -75,7 +75,7 @@
   deadlines_.emplace(now_ + event.client_timeout, event.query);
   queries_[event.query] = std::move(query);
   if (!settings_->module.retry_budget) return;
-  expire_retry_window();  // here too: while nothing can be sent, there are arrivals only
+  expire_retry_window();  // here too, since there are only arrivals while nothing can be sent
   retry_window_.add_arrival(now_);
 }
 
@@ -90,7 +90,7 @@
     deadlines_.erase(deadlines_.begin());
     const Query* query = find_query(id);
     if (query == nullptr || query->answered) continue;
-    violation(Invariant::in_time, query_text(id) + " has no answer, and its client waits no longer");
+    violation(Invariant::answered_before_timeout, query_text(id) + " has no answer after its client timeout");
   }
 }
 
@@ -190,7 +190,7 @@
   engine.not_ready_since = now_;
 }
 
-// Engine ids are always new: one that was removed is remembered only as long as something refers to it.
+// Engine ids are not reused: a removed engine is kept only while a query or channel refers to it.
 void InvariantMonitor::remove_unused_engines() {
   const auto is_removed = [](const auto& entry) {
     const Engine& engine = entry.second;
@@ -215,7 +215,7 @@
   Engine& engine = engines_[action.engine];
   ++engine.channels;
   if (engine.channels > settings_->channels_per_engine) {
-    violation(Invariant::bounds,
+    violation(Invariant::resource_limits,
               "engine " + std::to_string(action.engine) + " has more channels than allowed");
   }
 }
@@ -224,11 +224,11 @@
   Channel* channel = find_channel(action.channel);
   Query* query = find_query(action.query);
   if (channel == nullptr) {
-    violation(Invariant::clean_link, query_text(action.query) + " is sent on a channel that is closed");
+    violation(Invariant::channel_reuse, query_text(action.query) + " is sent on a channel that is closed");
     return;
   }
   if (query == nullptr) {
-    violation(Invariant::nothing_after, query_text(action.query) + " is sent after it was over");
+    violation(Invariant::nothing_after_final_answer, query_text(action.query) + " is sent after it ended");
     return;
   }
   check_send(action, *query, *channel);
@@ -246,13 +246,13 @@
 void InvariantMonitor::record(const CancelOnEngine& action) {
   Channel* channel = find_channel(action.channel);
   if (channel == nullptr || !channel->carries_query) {
-    violation(Invariant::own_cancel,
-              "a cancel goes to channel " + std::to_string(action.channel) + ", which carries no query");
+    violation(Invariant::cancel_target,
+              "channel " + std::to_string(action.channel) + " is cancelled, but carries no query");
     return;
   }
   channel->cancelled = true;
   if (find_query(channel->query) == nullptr)
-    violation(Invariant::own_cancel, "a cancel strikes a query that is not known");
+    violation(Invariant::cancel_target, "a cancel is sent for an unknown query");
 }
 
 void InvariantMonitor::record(const CloseChannel& action) {
@@ -266,21 +266,21 @@
 void InvariantMonitor::record(const Deliver& action) {
   Channel* channel = find_channel(action.channel);
   if (channel == nullptr) {
-    violation(Invariant::own_rows, "rows of a closed channel are delivered");
+    violation(Invariant::row_ownership, "rows of a closed channel are delivered");
     return;
   }
   Query* query = find_query(channel->query);
   const std::string text = query_text(channel->query);
   if (query == nullptr || query->answered) {
-    violation(Invariant::nothing_after, text + " is over, and rows of it are delivered");
+    violation(Invariant::nothing_after_final_answer, text + ": rows are delivered after it ended");
     return;
   }
   if (query->session != action.session)
-    violation(Invariant::own_rows, text + ": its rows go to another's session");
+    violation(Invariant::row_ownership, text + ": its rows are delivered to another session");
   if (query->delivered_bytes > 0 && query->delivered_attempt != channel->attempt_index)
-    violation(Invariant::own_rows, text + ": rows of two attempts are delivered");
+    violation(Invariant::row_ownership, text + ": rows of two attempts are delivered");
   if (action.bytes != channel->buffered_bytes)
-    violation(Invariant::whole_answer, text + ": not all buffered bytes are delivered");
+    violation(Invariant::complete_answer, text + ": not all buffered bytes are delivered");
   query->delivered_bytes += action.bytes;
   query->delivered_attempt = channel->attempt_index;
   channel->buffered_bytes = 0;
--- a/src/core/invariant_monitor.hpp
+++ b/src/core/invariant_monitor.hpp
@@ -1,12 +1,12 @@
 /// Checks the manager's invariants (docs/invariants.md) at the boundary between the query coordinator and its
-/// host. It knows neither the coordinator's records nor the decision module: it keeps its own account of
-/// events and actions, so that no mistake in theirs can hide itself.
+/// host. It knows neither the coordinator's records nor the decision module: it derives its own state
+/// from events and actions, so that an error in theirs can't hide a violation.
 ///
-/// Runs in the service, which logs a violation, and in the explorer, which stops at one. No I/O, no clock,
-/// not thread-safe.
+/// Runs in the service, which logs violations, and in the explorer, which stops at the first. No I/O, no
+/// clock; not thread-safe.
 ///
-/// The members are defined by concern: invariant_monitor.cpp (the account), invariant_checks.cpp (the checks
-/// of sends and answers), invariant_state.cpp (the state visitor).
+/// The members are defined by concern: invariant_monitor.cpp (the monitor's own state), invariant_checks.cpp
+/// (the checks of sends and answers), invariant_state.cpp (the state visitor).
 #pragma once
 
 #include <map>
@@ -31,7 +31,7 @@
   /// Call before the host executes the action.
   void on_action(TimePoint now, const HostAction& action);
 
-  /// Found since they were last cleared; beyond `max_recorded_violations` they are only counted.
+  /// The violations since the list was last cleared. Beyond `max_recorded_violations` they are only counted.
   [[nodiscard]] std::vector<InvariantViolation>& violations() { return violations_; }
   [[nodiscard]] std::uint64_t violation_count() const { return violation_count_; }
 
@@ -43,7 +43,7 @@
   static constexpr std::size_t max_recorded_violations = 16;
 
  private:
-  // ---- The account: events ----
+  // ---- Events ----
   void on(const SessionClosed& event);
   void on(const QueryArrived& event);
   void on(const ClientCancelled& event);
@@ -56,7 +56,7 @@
   void on(const TimerExpired& event);
   void on(const auto&) {}
 
-  // ---- The account: actions ----
+  // ---- Actions ----
   void record(const OpenChannel& action);
   void record(const SendQuery& action);
   void record(const CancelOnEngine& action);
@@ -68,7 +68,7 @@
 
   void abandon_query_of(SessionId session);
   void mark_handed_over(const monitored::Channel& channel);
-  /// The attempt on this channel has a result. Where it may still run, its key settles.
+  /// Ends the attempt on this channel. If it may still run, the settle time of its ordering key starts.
   void end_attempt(monitored::Channel& channel, bool may_still_run);
   void update_engine(const EngineEntry& entry);
   void mark_not_ready(monitored::Engine& engine);
@@ -97,7 +97,7 @@
   [[nodiscard]] monitored::Channel* find_channel(ChannelId id);
   void violation(Invariant invariant, std::string what);
 
-  std::shared_ptr<const CoreSettings> settings_;  // never changes: copies share it
+  std::shared_ptr<const CoreSettings> settings_;  // immutable, shared by copies
   TimePoint now_{};
   std::unordered_map<SessionId, QueryId> active_query_;
   std::unordered_map<QueryId, monitored::Query> queries_;
--- a/src/core/invariant_records.hpp
+++ b/src/core/invariant_records.hpp
@@ -1,5 +1,5 @@
-/// What the invariant monitor knows of queries, channels and engines: an account of its own, from events and
-/// actions alone. Values only.
+/// The invariant monitor's own records of queries, channels and engines, derived from events and actions
+/// only.
 #pragma once
 
 #include <algorithm>
@@ -17,9 +17,9 @@
   EngineId engine{};
   ChannelId channel{};
   TimePoint sent_at{};
-  bool handed_over = false;  ///< its last byte was: from here on it may run
+  bool handed_over = false;  ///< the socket accepted the last byte: it may run from then on
   bool active = true;
-  bool rejected = false;  ///< the engine said that it did not run it
+  bool rejected = false;  ///< the engine reported that it did not run it
   std::uint64_t answer_bytes = 0;
   bool complete = false;
 
@@ -36,7 +36,7 @@
   bool answered = false;
   bool abandoned = false;  ///< its client cancelled it, or closed its session
   std::uint64_t delivered_bytes = 0;
-  std::size_t delivered_attempt = 0;  ///< whose bytes were delivered, if any were
+  std::size_t delivered_attempt = 0;  ///< whose bytes were delivered; valid if delivered_bytes > 0
   std::vector<Attempt> attempts;
 
   [[nodiscard]] bool has_active_attempt() const {
@@ -58,7 +58,7 @@
   bool carries_query = false;
   bool cancelled = false;
   bool not_reusable = false;
-  QueryId query{};  ///< the last that it carried
+  QueryId query{};  ///< the last one that the channel carried
   std::size_t attempt_index = 0;
   std::uint64_t buffered_bytes = 0;
 };
@@ -68,17 +68,17 @@
   bool ready = false;
   TimePoint not_ready_since{};
   TimePoint slow_start_ends{};
-  std::deque<std::pair<TimePoint, Duration>> sends_in_slow_start;  ///< when, and their estimated cost
+  std::deque<std::pair<TimePoint, Duration>> sends_in_slow_start;  ///< times and estimated costs
   std::uint32_t channels = 0;
 };
 
-/// Queries by ordering key, in order of arrival; and keys that settle, since an attempt with an uncertain
-/// outcome may still run.
+/// Unfinished queries by ordering key, in order of arrival, and the keys whose settle time runs because an
+/// attempt with an uncertain outcome may still run.
 class KeyOrder {
  public:
   struct Settling {
     TimePoint until{};
-    QueryId query{};  ///< whose attempt may still run
+    QueryId query{};  ///< the query whose attempt may still run
   };
 
   void on_arrival(std::uint64_t key, QueryId query) { queues_[key].push_back(query); }
--- a/src/core/invariant_state.cpp
+++ b/src/core/invariant_state.cpp
@@ -1,4 +1,4 @@
-// The monitor's state as the explorer sees it.
+// The state visitor of the invariant monitor.
 #include "invariant_monitor.hpp"
 #include "state_walk.hpp"
 
--- a/src/core/invariants.hpp
+++ b/src/core/invariants.hpp
@@ -1,4 +1,4 @@
-/// The invariants of the manager: their names, and the sentences of docs/invariants.md.
+/// The invariants of the manager, their external names, and their descriptions as in docs/invariants.md.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +9,32 @@
 
 enum class Invariant : std::uint8_t {
   one_answer,
-  in_time,
-  nothing_after,
-  one_attempt,
-  effect_once,
-  honest_answer,
+  answered_before_timeout,
+  nothing_after_final_answer,
+  single_active_attempt,
+  idempotency,
+  accurate_answer,
   drain,
-  cold_engine,
-  order,
+  slow_start,
+  key_order,
   placement,
-  budget,
-  clean_link,
-  own_cancel,
-  own_rows,
-  whole_answer,
-  bounds,
-  advice,
-  // Only the explorer sees enough to check these.
-  no_contradiction,
-  all_ends,
+  retry_budget,
+  channel_reuse,
+  cancel_target,
+  row_ownership,
+  complete_answer,
+  resource_limits,
+  retry_advice,
+  // Checked by the explorer only.
+  consistent_state,
+  termination,
   count
 };
 
-/// The invariant's name in logs and history files.
+/// The invariant's name in logs and history files. It is part of these formats and may differ from the
+/// enumerator.
 [[nodiscard]] std::string_view name_of(Invariant invariant);
-/// The sentence that is promised.
+/// Describes what the invariant guarantees.
 [[nodiscard]] std::string_view sentence_of(Invariant invariant);
 
 struct InvariantViolation {
--- a/src/core/seeded_coordinator.hpp
+++ b/src/core/seeded_coordinator.hpp
@@ -1,5 +1,5 @@
-/// A query coordinator whose events or actions are altered by the defects of seeded_defects.hpp that need no
-/// look inside it. Only the build that shows that the explorer finds defects has it.
+/// A query coordinator with those defects of seeded_defects.hpp that alter its events or actions. Only in the
+/// test build with seeded defects.
 #pragma once
 
 #include <map>
@@ -21,9 +21,9 @@
     std::vector<HostAction> added(actions.begin() + first_new, actions.end());
     actions.erase(actions.begin() + first_new, actions.end());
     remember_sessions(event, added);
-    if (seeded(Defect::next_attempt_while_cancelling)) end_cancelled_attempts(added);
-    if (seeded(Defect::delivers_after_the_answer)) deliver_discarded(event, added);
-    if (seeded(Defect::rest_of_answer_lost)) lose_last_part(event, added);
+    if (seeded(Defect::next_attempt_before_cancel_confirmed)) end_cancelled_attempts(added);
+    if (seeded(Defect::delivers_after_final_answer)) deliver_discarded(event, added);
+    if (seeded(Defect::last_answer_part_discarded)) discard_last_part(event, added);
     for (HostAction& action : added) {
       auto* answer = std::get_if<Answer>(&action);
       if (answer != nullptr) alter(*answer);
@@ -36,27 +36,27 @@
   [[nodiscard]] std::optional<TimePoint> due() const {
     constexpr int late_steps = 20;
     auto due = QueryCoordinator::due();
-    if (due && seeded(Defect::timers_late)) *due += late_steps * clock_step_;
+    if (due && seeded(Defect::timers_fire_late)) *due += late_steps * clock_step_;
     return due;
   }
 
  private:
   static bool is_suppressed(const CoreEvent& event) {
     const auto* endpoints = std::get_if<EndpointsUpdated>(&event);
-    return seeded(Defect::drain_told_late) && endpoints != nullptr &&
+    return seeded(Defect::drain_event_dropped) && endpoints != nullptr &&
            endpoints->scope == EndpointUpdate::delta && !endpoints->engines.empty() &&
            endpoints->engines[0].state == EngineState::draining;
   }
 
   static void alter(Answer& answer) {
-    if (!seeded(Defect::leaving_calls_all_harmless)) return;
+    if (!seeded(Defect::shutdown_failure_reported_as_rejection)) return;
     if (answer.kind != AnswerKind::failed || !answer.shutting_down) return;
     answer.kind = AnswerKind::rejected;
     answer.retry_safety = RetrySafety::safe;
   }
 
   void remember_sessions(const CoreEvent& event, const std::vector<HostAction>& added) {
-    if (!seeded(Defect::delivers_after_the_answer)) return;
+    if (!seeded(Defect::delivers_after_final_answer)) return;
     if (const auto* query = std::get_if<QueryArrived>(&event))
       session_of_query_[query->query] = query->session;
     if (const auto* closed = std::get_if<SessionClosed>(&event))
@@ -67,8 +67,8 @@
       if (const auto* answer = std::get_if<Answer>(&action)) answered_.insert(answer->query);
   }
 
-  /// Each attempt that the module cancels ends at once as cancelled, though its engine has not confirmed it,
-  /// and its channel stays open without a query.
+  /// Ends each attempt that the module cancels at once, although its engine has not confirmed the cancel. The
+  /// channel stays open without a query.
   void end_cancelled_attempts(std::vector<HostAction>& added) {
     std::vector<ChannelId> cancelled;
     for (const HostAction& action : added)
@@ -85,7 +85,7 @@
     process_module_events();
   }
 
-  /// Parts that arrive after the final answer are delivered instead of discarded.
+  /// Delivers answer parts that arrive after the final answer, instead of discarding them.
   void deliver_discarded(const CoreEvent& event, std::vector<HostAction>& added) const {
     const auto* part = std::get_if<AnswerPart>(&event);
     if (part == nullptr || !query_on_channel_.contains(part->channel)) return;
@@ -99,8 +99,8 @@
     }
   }
 
-  /// What an answer's end brings along, and what was buffered until then, is discarded.
-  static void lose_last_part(const CoreEvent& event, std::vector<HostAction>& added) {
+  /// Discards the bytes that arrive with the end of an answer and those buffered before.
+  static void discard_last_part(const CoreEvent& event, std::vector<HostAction>& added) {
     const auto* end = std::get_if<AnswerEnd>(&event);
     if (end == nullptr) return;
     for (HostAction& action : added) {
--- a/tests/explorer/found_test.cpp
+++ b/tests/explorer/found_test.cpp
@@ -1,5 +1,5 @@
-/// Histories that the search found, in the code as it shipped or with a seeded defect. Built over the core
-/// with defects: each must violate an invariant with its defect on, and none with it off.
+/// Replays histories that the explorer found. Built with the seeded defects: each history must violate an
+/// invariant with its defect enabled, and none with it disabled.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,14 +21,14 @@
                                        const std::vector<Move>& moves) {
   const auto scope = find_scope(scope_name);
   ASSERT_TRUE(scope) << scope_name;
-  core::defect_on = core::Defect::none;
+  core::enabled_defect = core::Defect::none;
   const Replay correct = replay_to_end(*scope, moves);
   EXPECT_TRUE(correct.violations.empty()) << correct.violations.front().what;
 
-  core::defect_on = defect_of(defect);
-  EXPECT_NE(core::defect_on, core::Defect::none) << defect;
-  EXPECT_FALSE(replay_to_end(*scope, moves).violations.empty()) << defect << " is not detected any more";
-  core::defect_on = core::Defect::none;
+  core::enabled_defect = defect_of(defect);
+  EXPECT_NE(core::enabled_defect, core::Defect::none) << defect;
+  EXPECT_FALSE(replay_to_end(*scope, moves).violations.empty()) << defect << " is no longer detected";
+  core::enabled_defect = core::Defect::none;
 }
 
 #include "found_histories.inc"
