--- a/src/config/manager_config.cpp
+++ b/src/config/manager_config.cpp
@@ -200,7 +200,7 @@
   void read_classes(const Element& classes, ManagerConfig& out) const {
     for (const Element& one : classes.children("class"))
       out.core.module.classes.push_back(read_class(one, out.zones, out.kinds));
-    out.classifier.class_otherwise = classes.text("otherwise");
+    out.classifier.default_class = classes.text("otherwise");
   }
 
   static void read_tenants(const Element& root, ManagerConfig& out) {
@@ -208,7 +208,7 @@
     if (!tenants) return;
     for (const Element& tenant : tenants->children("tenant"))
       out.core.module.tenants.push_back({tenant.text("name"), tenant.number("quota-per-s")});
-    out.classifier.tenant_otherwise = tenants->text("otherwise");
+    out.classifier.default_tenant = tenants->text("otherwise");
   }
 
   /// The rules that put a query into a class. Each is tried alone first, so that a fault is reported at its
@@ -218,13 +218,13 @@
     Element rules_at = *root.child("classes");
     if (const auto rules = root.child("rules")) {
       rules_at = *rules;
-      out.classifier.refuse_unknown_tags = rules->text("unknown-tags") == "refuse";
+      out.classifier.reject_unknown_tags = rules->text("unknown-tags") == "refuse";
       for (const Element& one : rules->children("rule")) {
         const ClassRule rule{one.text("user"),      one.text("database"), one.text("application"),
                              one.text("statement"), one.text("class"),    one.text("tenant")};
         out.classifier.rules.push_back(rule);
         core::ClassifierSettings alone;
-        alone.class_otherwise = module.classes.front().name;
+        alone.default_class = module.classes.front().name;
         alone.rules = {rule};
         const core::Classifier tried(alone, module);
         if (const auto& error = tried.error()) fail(one, error->text());
--- a/src/core/buffer_account.hpp
+++ b/src/core/buffer_account.hpp
@@ -1,5 +1,5 @@
-/// Counts the bytes of answers that the host holds for this manager, and decides the flow control of channels
-/// from them: a channel is not read while its client is slow. Values only; not thread-safe.
+/// Accounts for the answer bytes that the host buffers for this manager, and derives the flow control of
+/// channels from them: a channel is not read while its client is slow. No I/O; not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
   void on_received(std::size_t bytes) { total_ += bytes; }
   /// A client consumed `bytes` that were delivered to it.
   void on_consumed(std::size_t bytes) { total_ -= bytes; }
-  /// `bytes` that were buffered for a channel are dropped.
+  /// `bytes` that were buffered for a channel were discarded.
   void on_discarded(std::size_t bytes) { total_ -= bytes; }
   /// A session closed with `bytes` delivered but not consumed.
   void on_session_closed(std::size_t bytes) { total_ -= bytes; }
--- a/src/core/classify.cpp
+++ b/src/core/classify.cpp
@@ -9,9 +9,9 @@
 namespace paddlestand::core {
 namespace {
 
-constexpr std::size_t max_searched_bytes = 4096;  // of a statement
-constexpr std::size_t max_quoted_tag_bytes = 64;  // of an unknown tag's name, in the text for the client
-constexpr unsigned table_group_shift = 12;  // a double holds 52 bits exactly
+constexpr std::size_t max_searched_bytes = 4096;  // of a statement, searched by a rule's pattern
+constexpr std::size_t max_quoted_tag_bytes = 64;  // of an unknown tag's name, in the message to the client
+constexpr unsigned table_group_shift = 12;  // `tables` is a double, which represents 52-bit integers exactly
 constexpr double nanoseconds_per_millisecond = 1e6;
 
 std::optional<double> parse_number(std::string_view text) {
@@ -55,14 +55,14 @@
 std::string ClassifierError::text() const {
   switch (kind) {
     case Kind::unknown_default_class:
-      return "the class of what no rule speaks of, '" + value + "', is not among: " + joined(known_names);
-    case Kind::unknown_default_tenant: return "tenant '" + value + "' is not among: " + joined(known_names);
+      return "unknown default class '" + value + "'; expected one of: " + joined(known_names);
+    case Kind::unknown_default_tenant:
+      return "unknown default tenant '" + value + "'; expected one of: " + joined(known_names);
     case Kind::unknown_rule_class:
-      return "a rule names class '" + value + "'; wanted one of: " + joined(known_names);
+      return "a rule names class '" + value + "'; expected one of: " + joined(known_names);
     case Kind::unknown_rule_tenant:
-      return "a rule names tenant '" + value + "'; wanted one of: " + joined(known_names);
-    case Kind::invalid_pattern:
-      return "the pattern '" + value + "' is no regular expression: " + pattern_error;
+      return "a rule names tenant '" + value + "'; expected one of: " + joined(known_names);
+    case Kind::invalid_pattern: return "invalid regular expression '" + value + "': " + pattern_error;
   }
   return {};
 }
@@ -83,7 +83,7 @@
     try {
       return boost::regex_search(text.begin(), text.end(), *pattern);
     } catch (const std::runtime_error&) {
-      return false;  // the search took too many steps on this text
+      return false;  // the search exceeded the step limit of the regular expression library
     }
   }
 };
@@ -98,10 +98,10 @@
     deadlines_.push_back(one.deadline);
   }
   for (const TenantSettings& one : module.tenants) tenants_.push_back(one.name);
-  if (!index_of(classes_, settings_.class_otherwise))
-    report({ClassifierError::Kind::unknown_default_class, settings_.class_otherwise, classes_, {}});
-  if (!settings_.tenant_otherwise.empty() && !index_of(tenants_, settings_.tenant_otherwise))
-    report({ClassifierError::Kind::unknown_default_tenant, settings_.tenant_otherwise, tenants_, {}});
+  if (!index_of(classes_, settings_.default_class))
+    report({ClassifierError::Kind::unknown_default_class, settings_.default_class, classes_, {}});
+  if (!settings_.default_tenant.empty() && !index_of(tenants_, settings_.default_tenant))
+    report({ClassifierError::Kind::unknown_default_tenant, settings_.default_tenant, tenants_, {}});
   for (const ClassRule& rule : settings_.rules) add_rule(rule);
 }
 
@@ -127,16 +127,16 @@
 
 // ---- Tags ----
 
-/// Reads the tags of one request.
+/// Parses the tags of one request.
 class Classifier::TagParser {
  public:
   explicit TagParser(const Classifier& classifier) : classifier_(classifier) {}
 
-  /// What is wrong with the tag, if anything.
-  std::optional<Problem> parse(const std::string& name, const std::string& value) {
+  /// Parses one tag. Returns an error, if any.
+  std::optional<TagError> parse(const std::string& name, const std::string& value) {
     struct Tag {
       std::string_view name;
-      std::optional<Problem> (TagParser::*parse)(const std::string& value);
+      std::optional<TagError> (TagParser::*parse)(const std::string& value);
     };
     static constexpr std::array<Tag, 8> tags{{{"class", &TagParser::parse_class},
                                               {"tenant", &TagParser::parse_tenant},
@@ -149,9 +149,10 @@
     const auto* tag =
         std::find_if(tags.begin(), tags.end(), [&](const Tag& one) { return one.name == name; });
     if (tag != tags.end()) return (this->*tag->parse)(value);
-    if (!classifier_.settings_.refuse_unknown_tags) return std::nullopt;
-    return Problem{"unknown tag '" + name.substr(0, max_quoted_tag_bytes) +
-                   "'; wanted: class, tenant, cost_ms, deadline_ms, memory_mb, key, tables, repeat"};
+    if (!classifier_.settings_.reject_unknown_tags) return std::nullopt;
+    return TagError{
+        "unknown tag '" + name.substr(0, max_quoted_tag_bytes) +
+        "'; expected one of: class, tenant, cost_ms, deadline_ms, memory_mb, key, tables, repeat"};
   }
 
   QueryArrived query;  ///< without class, tenant and timeout
@@ -159,46 +160,46 @@
   std::optional<Duration> client_timeout;
 
  private:
-  std::optional<Problem> parse_class(const std::string& value) {
+  std::optional<TagError> parse_class(const std::string& value) {
     class_index = index_of(classifier_.classes_, value);
     if (class_index) return std::nullopt;
-    return Problem{"unknown class '" + value + "'; wanted one of: " + joined(classifier_.classes_)};
+    return TagError{"unknown class '" + value + "'; expected one of: " + joined(classifier_.classes_)};
   }
-  std::optional<Problem> parse_tenant(const std::string& value) {
+  std::optional<TagError> parse_tenant(const std::string& value) {
     tenant = index_of(classifier_.tenants_, value);
     if (tenant) return std::nullopt;
-    return Problem{"unknown tenant '" + value + "'; wanted one of: " + joined(classifier_.tenants_)};
+    return TagError{"unknown tenant '" + value + "'; expected one of: " + joined(classifier_.tenants_)};
   }
-  std::optional<Problem> parse_cost(const std::string& value) {
+  std::optional<TagError> parse_cost(const std::string& value) {
     query.estimated_cost = parse_milliseconds(value, classifier_.settings_.max_cost);
     if (query.estimated_cost) return std::nullopt;
-    return Problem{"cost_ms='" + value + "'; wanted: milliseconds from 0 to a day's"};
+    return TagError{"cost_ms='" + value + "'; expected milliseconds from 0 to 24 h"};
   }
-  std::optional<Problem> parse_deadline(const std::string& value) {
+  std::optional<TagError> parse_deadline(const std::string& value) {
     client_timeout = parse_milliseconds(value, classifier_.settings_.max_client_timeout);
     if (client_timeout && client_timeout->count() > 0) return std::nullopt;
-    return Problem{"deadline_ms='" + value + "'; wanted: milliseconds, more than 0, an hour's at most"};
+    return TagError{"deadline_ms='" + value + "'; expected milliseconds, more than 0 and at most 1 h"};
   }
-  std::optional<Problem> parse_memory(const std::string& value) {
+  std::optional<TagError> parse_memory(const std::string& value) {
     const double max = classifier_.settings_.max_memory_mb;
     const auto megabytes = parse_number(value);
     if (!megabytes || *megabytes < 0 || *megabytes > max) {
-      return Problem{"memory_mb='" + value + "'; wanted: megabytes from 0 to " +
-                     std::to_string(static_cast<long>(max))};
+      return TagError{"memory_mb='" + value + "'; expected megabytes from 0 to " +
+                      std::to_string(static_cast<long>(max))};
     }
     query.estimated_memory_mb = *megabytes;
     return std::nullopt;
   }
-  std::optional<Problem> parse_key(const std::string& value) {
+  std::optional<TagError> parse_key(const std::string& value) {
     if (!value.empty()) query.ordering_key = key_of(value);
     return std::nullopt;
   }
-  std::optional<Problem> parse_tables(const std::string& value) {
+  std::optional<TagError> parse_tables(const std::string& value) {
     query.tables = static_cast<double>(key_of(value) >> table_group_shift);
     return std::nullopt;
   }
-  std::optional<Problem> parse_repeat(const std::string& value) {
-    if (value != "0" && value != "1") return Problem{"repeat='" + value + "'; wanted: 0 or 1"};
+  std::optional<TagError> parse_repeat(const std::string& value) {
+    if (value != "0" && value != "1") return TagError{"repeat='" + value + "'; expected 0 or 1"};
     query.repeated = value == "1";
     return std::nullopt;
   }
@@ -216,16 +217,16 @@
   if (!tags.tenant) tags.tenant = rule->tenant;
 }
 
-std::variant<QueryArrived, Problem> Classifier::classify(const RequestFacts& facts) const {
+std::variant<QueryArrived, TagError> Classifier::classify(const RequestFacts& facts) const {
   TagParser tags(*this);
   for (const auto& [name, value] : facts.tags)
     if (auto problem = tags.parse(name, value)) return *problem;
   if (!tags.class_index || !tags.tenant) apply_rules(facts, tags);
   QueryArrived query = tags.query;
-  query.class_index = tags.class_index.value_or(index_of(classes_, settings_.class_otherwise).value_or(0));
-  // The index after the last tenant stands for none: no quota applies.
+  query.class_index = tags.class_index.value_or(index_of(classes_, settings_.default_class).value_or(0));
+  // The index after the last tenant means no tenant, and thus no quota.
   const auto no_tenant = static_cast<std::uint32_t>(tenants_.size());
-  query.tenant = tags.tenant.value_or(index_of(tenants_, settings_.tenant_otherwise).value_or(no_tenant));
+  query.tenant = tags.tenant.value_or(index_of(tenants_, settings_.default_tenant).value_or(no_tenant));
   query.client_timeout = deadlines_[query.class_index];
   if (facts.timeout) query.client_timeout = std::min(*facts.timeout, settings_.max_client_timeout);
   if (tags.client_timeout) query.client_timeout = *tags.client_timeout;
--- a/src/core/classify.hpp
+++ b/src/core/classify.hpp
@@ -1,5 +1,5 @@
-/// Classifies requests by what a client sent with them: first its tags, then the rules of the configuration,
-/// then the default class and tenant. No I/O and no protocol: the same for every front end.
+/// Assigns a class and a tenant to each request: from its tags, else from the first matching rule of the
+/// configuration, else the defaults. Independent of I/O and of the protocol, and shared by all front ends.
 #pragma once
 
 #include <memory>
@@ -14,38 +14,38 @@
 
 namespace paddlestand::core {
 
-/// A rule matches where all of its conditions do; the first rule that matches decides.
+/// A rule matches if all of its conditions match. The first matching rule applies.
 struct ClassRule {
   std::string user, database, application;  ///< empty: any
-  std::string statement;  ///< a regular expression searched for in the statement's first part; empty: any
-  std::string class_name;  ///< empty: the rule sets none
-  std::string tenant;  ///< empty: the rule sets none
+  std::string statement;  ///< regular expression, searched for at the start of the statement; empty: any
+  std::string class_name;  ///< empty: the rule sets no class
+  std::string tenant;  ///< empty: the rule sets no tenant
 };
 
 struct ClassifierSettings {
   std::vector<ClassRule> rules;
-  std::string class_otherwise;  ///< of requests that neither tags nor rules classify
-  std::string tenant_otherwise;  ///< likewise; empty: none
+  std::string default_class;  ///< for requests that neither tags nor rules classify
+  std::string default_tenant;  ///< for requests that neither tags nor rules assign to a tenant; empty: none
   Duration max_client_timeout = std::chrono::hours(1);
   Duration max_cost = std::chrono::hours(24);
   double max_memory_mb = 16.0 * 1024 * 1024;
-  bool refuse_unknown_tags = false;
+  bool reject_unknown_tags = false;
 };
 
-/// What is known of a request before it is classified.
+/// The input of the classification of one request.
 struct RequestFacts {
   std::string_view user, database, application, statement;
   std::vector<std::pair<std::string, std::string>> tags;
-  std::optional<Duration> timeout;  ///< of the session
+  std::optional<Duration> timeout;  ///< set for the session
 };
 
-/// What the client got wrong, in a text for it.
-struct Problem {
+/// An error in a request's tags, with a message for the client.
+struct TagError {
   std::string text;
 };
 
-/// Why a classifier can't be used: its settings name a class or tenant that does not exist, or hold a pattern
-/// that is no regular expression.
+/// An error in the settings of a classifier: they name a class or tenant that does not exist, or contain an
+/// invalid regular expression.
 struct ClassifierError {
   enum class Kind : std::uint8_t {
     unknown_default_class,
@@ -56,17 +56,17 @@
   };
 
   Kind kind{};
-  std::string value;  ///< the name or pattern at fault
-  std::vector<std::string> known_names;  ///< classes or tenants that exist; empty for a pattern
-  std::string pattern_error;  ///< what the regular expression's compiler reports; empty for a name
+  std::string value;  ///< the invalid name or pattern
+  std::vector<std::string> known_names;  ///< existing classes or tenants; empty for a pattern
+  std::string pattern_error;  ///< message of the regular expression compiler; empty for a name
 
-  /// The error in a sentence for operators.
+  /// The error message for operators.
   [[nodiscard]] std::string text() const;
 };
 
 class Classifier {
  public:
-  /// Errors in the settings are reported by error(); such a classifier must not be used.
+  /// A classifier with invalid settings must not be used; see error().
   Classifier(ClassifierSettings settings, const Settings& module);
   ~Classifier();
   Classifier(Classifier&&) noexcept;
@@ -75,28 +75,28 @@
   /// The first error in the settings, if any.
   [[nodiscard]] const std::optional<ClassifierError>& error() const { return error_; }
 
-  /// The request without the ids of its session and query, or what the client got wrong.
-  [[nodiscard]] std::variant<QueryArrived, Problem> classify(const RequestFacts& facts) const;
+  /// Returns the request without the ids of its session and query, or an error in its tags.
+  [[nodiscard]] std::variant<QueryArrived, TagError> classify(const RequestFacts& facts) const;
 
  private:
   struct Rule;
   class TagParser;
 
   void add_rule(const ClassRule& settings);
-  /// Keeps the first error.
+  /// Records the error if it is the first.
   void report(ClassifierError error);
-  /// Sets what the tags left open from the first rule that matches.
+  /// Sets the class and the tenant, where the tags do not, from the first matching rule.
   void apply_rules(const RequestFacts& facts, TagParser& tags) const;
 
   ClassifierSettings settings_;
   std::vector<std::string> classes_, tenants_;
-  std::vector<Duration> deadlines_;  // by class
+  std::vector<Duration> deadlines_;  // indexed by class
   std::vector<Rule> rules_;
   std::optional<ClassifierError> error_;
 };
 
-/// The number of an ordering key or table group that is given as text; never zero. Stable over builds and
-/// machines.
+/// Hashes the text of an ordering key or table group to a non-zero number (FNV-1a). The result is the same in
+/// every build and on every machine.
 [[nodiscard]] std::uint64_t key_of(std::string_view text);
 
 }  // namespace paddlestand::core
--- a/src/core/connection_policy.cpp
+++ b/src/core/connection_policy.cpp
@@ -6,11 +6,12 @@
 namespace paddlestand::core {
 namespace {
 
-/// A client that was read this recently can't have been disconnected for longer than attempts may start after
-/// it.
+/// If a client's connection was read within this time, the client can't have disconnected earlier than that.
+/// Attempts may start at most this long after a disconnect.
 constexpr Duration client_read_validity = std::chrono::milliseconds(20);
 
-/// The same for the list of engines while the event loop lags: without a lag, events are read as they arrive.
+/// How long the list of engines counts as current while the event loop lags. Without a lag, discovery events
+/// are read as they arrive.
 constexpr Duration endpoint_list_validity = std::chrono::milliseconds(20);
 
 bool is_shortage(int error_number) {
@@ -19,15 +20,14 @@
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
-    case ENOSPC: return true;  // ENOSPC: epoll_ctl(2), watches of the user
+    case ENOSPC: return true;  // ENOSPC: epoll_ctl(2), limit of watches per user
     default: return false;
   }
 }
 
 bool would_block(int error_number) { return error_number == EAGAIN || error_number == EWOULDBLOCK; }
 
-/// accept(2): errors that were pending on the new connection are reported here and mean nothing for the
-/// listener.
+/// accept(2) also reports errors that are pending on the new connection; these do not concern the listener.
 CallVerdict verdict_of_accept(int error_number) {
   switch (error_number) {
     case EBADF:
@@ -40,7 +40,7 @@
 
 CallVerdict verdict_of_connect(int error_number) {
   switch (error_number) {
-    case EAGAIN:  // no free local port, or no room in a routing cache
+    case EAGAIN:  // no free local port, or full routing cache
     case EADDRINUSE:
     case EADDRNOTAVAIL:
     case ENETUNREACH:
@@ -51,8 +51,8 @@
   }
 }
 
-/// bind(2), listen(2): an address is in use until the process that had it has ended, and not available until
-/// its interface is up.
+/// bind(2), listen(2): both errors are temporary. An address is in use until its previous owner exits, and
+/// not available until its interface is up.
 CallVerdict verdict_of_bind(int error_number) {
   const bool is_momentary = error_number == EADDRINUSE || error_number == EADDRNOTAVAIL;
   return is_momentary ? CallVerdict::retry_later : CallVerdict::ended;
@@ -76,8 +76,8 @@
 }
 
 DispatchDecision may_dispatch(const DispatchFacts& facts) {
-  if (!facts.client_present) return DispatchDecision::client_gone;
-  if (facts.time_left <= Duration{0}) return DispatchDecision::time_is_up;
+  if (!facts.client_present) return DispatchDecision::client_disconnected;
+  if (facts.time_left <= Duration{0}) return DispatchDecision::deadline_exceeded;
   if (!facts.just_read && facts.since_client_was_read > client_read_validity)
     return DispatchDecision::read_client_first;
   return DispatchDecision::dispatch;
@@ -90,7 +90,7 @@
 }
 
 CloseDecision may_close(const CloseFacts& facts) {
-  if (facts.open_requests > 0) return CloseDecision::owes_answers;
+  if (facts.open_requests > 0) return CloseDecision::has_open_requests;
   if (facts.unsent_bytes > 0) return CloseDecision::has_unsent_answers;
   if (facts.inside_message || !facts.input_is_read) return CloseDecision::has_unread_input;
   return CloseDecision::close;
--- a/src/core/connection_policy.hpp
+++ b/src/core/connection_policy.hpp
@@ -1,7 +1,7 @@
-/// Decides what to do with a connection, a listener or a request: whether a failed system call is retried or
-/// has ended what it was called on, whether an attempt may start, whether a connection may be closed. No I/O,
-/// no clock: hosts provide the facts and execute the decision. One place for all callers, or each would
-/// mistake another momentary failure for the end of a connection.
+/// Policies for connections, listeners and requests: whether a failed system call is retried or means the end
+/// of its socket or file, whether an attempt may start, whether a connection may be closed. No I/O and no
+/// clock: hosts provide the facts and execute the decision. All callers share this code, so that none treats
+/// a temporary failure as the end of a connection.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 
 namespace paddlestand::core {
 
-// ---- Failed calls ----
+// ---- Failed system calls ----
 
 enum class SystemCall : std::uint8_t {
   open_socket,
@@ -31,51 +31,54 @@
 };
 
 enum class CallVerdict : std::uint8_t {
-  retry_now,  ///< interrupted, or the error says nothing about the next call
+  retry_now,  ///< interrupted, or an error that does not affect the next call
   wait_until_ready,  ///< would block
-  retry_later,  ///< a momentary shortage of this machine, or no route
-  refused,  ///< connect: the peer answered, or is known to be unreachable; nothing was sent
-  ended  ///< the object that it was called on is of no further use
+  retry_later,  ///< a temporary resource shortage on this machine, or no route
+  refused,  ///< connect only: the peer refused, or is known to be unreachable; nothing was sent
+  ended  ///< the socket or file is unusable from now on
 };
 
-/// What an error that Linux documents for a call means for the object that it was called on (accept(2),
-/// connect(2), recv(2), send(2), socket(2), bind(2), tcp(7), epoll_ctl(2)). `error_number` is an errno.
+/// Classifies an errno value that Linux documents for a system call (accept(2), connect(2), recv(2), send(2),
+/// socket(2), bind(2), tcp(7), epoll_ctl(2)).
 [[nodiscard]] CallVerdict verdict_of(SystemCall call, int error_number);
 
 // ---- Attempts ----
 
 struct DispatchFacts {
-  bool client_present = false;  ///< its connection is open, and it has not cancelled the request
-  Duration since_client_was_read{};  ///< since its connection was last read until it had no more
-  Duration time_left{};  ///< of the client timeout
-  bool just_read = false;  ///< for this decision, though perhaps not completely: it goes on sending
+  bool client_present = false;  ///< the connection is open, and the request was not cancelled
+  Duration since_client_was_read{};  ///< since its connection was last read until it would block
+  Duration time_left{};  ///< until the client timeout ends
+  /// The connection was read for this decision, but perhaps not until it would block, since the client may
+  /// keep sending.
+  bool just_read = false;
 };
 
 enum class DispatchDecision : std::uint8_t {
   dispatch,
-  read_client_first,  ///< it may have disconnected: read its connection, then decide again
-  client_gone,
-  time_is_up
+  read_client_first,  ///< the client may have disconnected: read its connection, then decide again
+  client_disconnected,  ///< or cancelled the request
+  deadline_exceeded
 };
 
 /// Whether the first byte of an attempt may be sent now.
 [[nodiscard]] DispatchDecision may_dispatch(const DispatchFacts& facts);
 
-/// How old the list of engines may be, as far as this manager can know.
+/// How outdated the list of engines may be.
 struct EndpointListFacts {
-  Duration since_events_were_read{};  ///< since the discovery channel was last read until it had no more
+  Duration since_events_were_read{};  ///< since the discovery connection was last read until it would block
   Duration event_loop_lag{};
-  bool was_resumed = false;  ///< since then the process was stopped and resumed
+  bool was_resumed = false;  ///< the process was stopped and resumed since then
 };
 
-/// Whether the discovery channel must be read before an attempt is sent: an engine may have begun to drain
-/// while this process did not run, and its event may wait behind the requests that arrived meanwhile.
+/// Whether the discovery connection must be read before an attempt is sent: an engine may have started to
+/// drain while this process was stopped, and its event may be queued behind requests that arrived in the same
+/// time.
 [[nodiscard]] bool must_read_endpoint_events(const EndpointListFacts& facts);
 
-/// An attempt's deadline is encoded in its frame: a frame that has waited longer than this is encoded anew.
+/// The frame of an attempt contains its deadline: a frame that has waited longer than this is encoded again.
 inline constexpr Duration longest_frame_wait = std::chrono::milliseconds(20);
-/// A frame that is sent in part and not completed within this time is given up: its attempt would start later
-/// than its deadline assumes.
+/// Maximum time to complete a partially sent frame. After that the attempt is given up, because it would
+/// start later than its deadline assumes.
 inline constexpr Duration longest_partial_frame = std::chrono::milliseconds(100);
 
 // ---- Client connections ----
@@ -83,29 +86,29 @@
 struct CloseFacts {
   std::size_t open_requests = 0;
   std::size_t unsent_bytes = 0;
-  bool input_is_read = false;  ///< all input was read; false where a read failed
-  bool inside_message = false;  ///< part of a message arrived
+  bool input_is_read = false;  ///< all input was read; false if a read failed
+  bool inside_message = false;  ///< only part of a message was received
 };
 
-enum class CloseDecision : std::uint8_t { close, owes_answers, has_unsent_answers, has_unread_input };
+enum class CloseDecision : std::uint8_t { close, has_open_requests, has_unsent_answers, has_unread_input };
 
-/// Whether this side may close a client's connection now, where the client did nothing wrong.
+/// Whether this side may close the connection of a client that committed no protocol error.
 [[nodiscard]] CloseDecision may_close(const CloseFacts& facts);
 
 // ---- Run-time check ----
 
-/// What must never happen. Counted by the code that would do it.
+/// Internal errors that must never happen, counted at run time where they would occur.
 enum class Violation : std::uint8_t {
-  begun_after_client_left,
-  deadline_beyond_client,
+  sent_after_disconnect,
+  deadline_after_client_timeout,
   closed_with_open_requests,
-  second_attempt_out,  ///< an attempt was to be sent while an engine may still have another one of its
-                       ///< request
-  stream_id_used_twice,  ///< a stream was to be opened with an id that its connection has already carried
+  second_active_attempt,  ///< an attempt was about to be sent while an engine may still run another attempt
+                          ///< of the same request
+  stream_id_reused,  ///< a stream was about to be opened with an id already used on its connection
   count
 };
 
-/// The violation's name in logs and reports.
+/// The violation's name in logs and reports. It is part of their format and may differ from the enumerator.
 [[nodiscard]] std::string_view name_of(Violation violation);
 
 class ViolationCounter {
--- a/src/core/coordinator_answers.cpp
+++ b/src/core/coordinator_answers.cpp
@@ -1,11 +1,12 @@
-// Answers: their bytes on the way from engines to clients, and the final answer of each query.
+// Answers: the flow of their bytes from engines to clients, and the final answer of each query.
 #include "query_coordinator.hpp"
 
 namespace paddlestand::core {
 
 namespace {
 
-/// The module answers this much before the client timeout ends; what it gives up earlier is for load.
+/// The module gives up queries for their deadline at most this many clock steps before the client timeout
+/// ends; those that it gives up earlier are given up for load.
 constexpr int deadline_margin_steps = 4;
 
 AttemptAccount account_of(const AttemptRecord& attempt, const QueryRecord& query, TimePoint now) {
@@ -39,7 +40,7 @@
 
 void QueryCoordinator::on(const ClientConsumed& event) {
   const auto found = sessions_.find(event.session);
-  if (found == sessions_.end()) return;  // its close crossed with the write
+  if (found == sessions_.end()) return;  // the session was closed before its write completed
   SessionRecord& session = found->second;
   if (event.bytes > session.undelivered_bytes)
     fail_assertion("session", event.session, "consumed more than was delivered");
@@ -59,7 +60,8 @@
   mark_sent(*channel);
   QueryRecord& query = queries_.at(*channel->query);
   AttemptRecord& attempt = query.attempts[channel->attempt_index];
-  if (attempt.state.is(AttemptState::running)) attempt.state.go(AttemptState::answering, "first part");
+  if (attempt.state.is(AttemptState::running))
+    attempt.state.transition_to(AttemptState::answering, "first part");
   receive_bytes(*channel, event.bytes);
   if (query.is_finished()) {
     attempt.answer_discarded = true;
@@ -69,7 +71,8 @@
   const bool buffer_is_full =
       channel->buffered_bytes > settings_->answer_buffer || buffers_.is_over_total_limit();
   if (attempt.state.is(AttemptState::cancelling)) {
-    // It may still be served, but nothing is delivered before its end; what does not fit is discarded.
+    // The attempt may still be served, but nothing is delivered before its end. Bytes that exceed the buffer
+    // are discarded.
     if (!buffer_is_full && !query.state.is(QueryState::streaming)) return;
     attempt.answer_discarded = true;
     discard(event.channel, *channel);
@@ -77,7 +80,7 @@
   }
   if (query.state.is(QueryState::open)) {
     if (!buffer_is_full) return;
-    query.state.go(QueryState::streaming, "answer is larger than its buffer");
+    query.state.transition_to(QueryState::streaming, "answer is larger than its buffer");
     notify_module(AnswerStarted{query.id});
   }
   deliver(event.channel, *channel, query);
@@ -94,7 +97,7 @@
     end_probe(event.channel, is_healthy ? AttemptResult::served : AttemptResult::engine_error, event.report);
     return;
   }
-  if (!channel->query) fail_assertion("channel", event.channel, "an answer ended that no query was sent for");
+  if (!channel->query) fail_assertion("channel", event.channel, "an answer ended without a query");
   const bool is_reusable = parts::Rules::is_reusable(*channel, event);
   mark_sent(*channel);
   if (parts::Rules::resumes_at_answer_end(*channel)) resume_if_paused(event.channel, *channel);
@@ -114,7 +117,7 @@
     close_channel(event.channel);
     return;
   }
-  channel->state.go(ChannelState::idle, "answer ended");
+  channel->state.transition_to(ChannelState::idle, "answer ended");
   return_to_pool(event.channel, *channel);
 }
 
@@ -122,7 +125,7 @@
                                               const AttemptRecord& attempt) const {
   switch (event.ending) {
     case Ending::complete: {
-      // Without its discarded part the answer can't be served; once the query is finished nobody needs it.
+      // An answer with a discarded part can't be served. After the final answer it does not matter.
       const bool is_incomplete = attempt.answer_discarded && !query.is_finished();
       return is_incomplete ? AttemptResult::cancelled : AttemptResult::served;
     }
@@ -142,10 +145,10 @@
 
 void QueryCoordinator::finish_query(QueryRecord& query, const Outcome& outcome) {
   Answer answer = make_answer(query, outcome);
-  query.state.go(QueryState::finished, "final answer");
+  query.state.transition_to(QueryState::finished, "final answer");
   --unanswered_queries_;
   const auto session = sessions_.find(query.session);
-  if (session != sessions_.end()) session->second.state.go(SessionState::idle, "answered");
+  if (session != sessions_.end()) session->second.state.transition_to(SessionState::idle, "answered");
   if (outcome.kind != AnswerKind::served) discard_active_attempts(query);
   emit(std::move(answer));
   remove_query_if_done(query.id);
@@ -170,8 +173,8 @@
   return answer;
 }
 
-// Nobody wants the bytes of attempts that are still active, and no client is slow: they are read to their
-// end.
+// The bytes of attempts that are still active are not needed. They are read to their end without flow
+// control, since they are not sent to a client.
 void QueryCoordinator::discard_active_attempts(QueryRecord& query) {
   for (AttemptRecord& attempt : query.attempts) {
     if (!attempt.is_active() || !attempt.channel) continue;
--- a/src/core/coordinator_attempts.cpp
+++ b/src/core/coordinator_attempts.cpp
@@ -20,7 +20,7 @@
     case ChannelPool::Placement::reuse: reuse_channel(query, attempt_index, pool); break;
     case ChannelPool::Placement::open: open_channel_for(query, attempt_index); break;
     case ChannelPool::Placement::none:
-      // The module backs off from the engine for a moment, as after any rejection by an engine that is full.
+      // The module backs off from the engine briefly, as after a rejection by a full engine.
       end_attempt(query, attempt_index, AttemptResult::rejected);
       break;
   }
@@ -47,8 +47,8 @@
                                     std::uint32_t attempt_index) {
   channel.query = query.id;
   channel.attempt_index = attempt_index;
-  channel.state.go(ChannelState::sending, "query goes out");
-  query.attempts[attempt_index].state.go(AttemptState::sending, "query goes out");
+  channel.state.transition_to(ChannelState::sending, "sending query");
+  query.attempts[attempt_index].state.transition_to(AttemptState::sending, "sending query");
   emit(SendQuery{id, query.id, attempt_index, query.priority, query.memory_mb});
 }
 
@@ -80,7 +80,8 @@
       break;
     case AttemptState::running:
     case AttemptState::answering:
-      // As after any cancel, it is active until its engine confirms the end or the cancel grace is over.
+      // As after any cancel, the attempt is active until its engine confirms the end or the cancel grace
+      // ends.
       attempt.timed_out = true;
       cancel_on_engine(attempt);
       break;
@@ -99,7 +100,7 @@
     end_attempt(query, attempt_index, result);
     return;
   }
-  // A query that was only sent in part can't run: the engine sees the end of the channel before its end.
+  // A partially sent query can't run: the engine sees the channel close before the end of the query.
   end_attempt(query, attempt_index, result);
   close_channel(channel.value());
 }
@@ -107,12 +108,12 @@
 void QueryCoordinator::cancel_on_engine(AttemptRecord& attempt) {
   const ChannelId id = attempt.channel.value();
   ChannelRecord& channel = channels_.at(id);
-  attempt.state.go(AttemptState::cancelling, "module cancels");
+  attempt.state.transition_to(AttemptState::cancelling, "module cancels");
   parts::Rules::mark_cancelling(channel);
   emit(CancelOnEngine{id});
   timers_.disarm(channel.timer);
   channel.timer = timers_.arm(now_ + settings_->cancel_grace, {TimerUse::cancel_grace, id, 0});
-  // The end of the answer must be read, or the engine never sees the cancel.
+  // The answer must be read to its end, otherwise the engine never sees the cancel.
   resume_if_paused(id, channel);
 }
 
--- a/src/core/coordinator_channels.cpp
+++ b/src/core/coordinator_channels.cpp
@@ -14,9 +14,9 @@
 
 void QueryCoordinator::close_channel(ChannelId id) {
   ChannelRecord& channel = channels_.at(id);
-  if (channel.query) fail_assertion("channel", id, "closed under an attempt");
+  if (channel.query) fail_assertion("channel", id, "closed while it carries an attempt");
   if (channel.state.is(ChannelState::sending)) parts::Rules::withdraw_sends(*host_actions_, id);
-  channel.state.go(ChannelState::closed, "closed");
+  channel.state.transition_to(ChannelState::closed, "closed");
   timers_.disarm(channel.timer);
   buffers_.on_discarded(channel.buffered_bytes);
   if (channel.use == ChannelUse::query) pools_[channel.engine].on_closed(id);
@@ -35,10 +35,10 @@
 
 void QueryCoordinator::mark_sent(ChannelRecord& channel) {
   if (!channel.state.is(ChannelState::sending)) return;
-  channel.state.go(ChannelState::busy, "bytes handed over");
+  channel.state.transition_to(ChannelState::busy, "query sent");
   if (!channel.query) return;
   AttemptRecord& attempt = queries_.at(*channel.query).attempts[channel.attempt_index];
-  attempt.state.go(AttemptState::running, "handed over");
+  attempt.state.transition_to(AttemptState::running, "query sent");
 }
 
 void QueryCoordinator::on(const QuerySent& event) {
@@ -48,9 +48,9 @@
 void QueryCoordinator::on(const ChannelOpened& event) {
   ChannelRecord* channel = find_channel(event.channel);
   if (channel == nullptr) return;
-  channel->state.go(ChannelState::idle, "opened");
+  channel->state.transition_to(ChannelState::idle, "opened");
   if (channel->use == ChannelUse::probe) {
-    channel->state.go(ChannelState::sending, "probe goes out");
+    channel->state.transition_to(ChannelState::sending, "sending probe");
     emit(SendProbe{event.channel});
     return;
   }
--- a/src/core/coordinator_endpoints.cpp
+++ b/src/core/coordinator_endpoints.cpp
@@ -1,4 +1,5 @@
-// The endpoint list: which engines are ready, and what ends with an engine that no longer is.
+// The endpoint list: which engines are ready, and which channels and attempts end when an engine no longer
+// is.
 #include <algorithm>
 #include <set>
 
@@ -7,14 +8,14 @@
 namespace paddlestand::core {
 
 void QueryCoordinator::on(const EndpointsUpdated& event) {
-  // The module first: attempts that end below must not be sent to the same engine again.
+  // The module is notified first: it must not retry attempts that end below on the same engine.
   process_module_events();
   notify_module(EndpointsChanged{event.scope, event.engines});
   process_module_events();  // the event's span is valid only during this call
   if (event.scope == EndpointUpdate::failed) return;
   for (const EngineEntry& entry : event.engines) update_pool(entry);
   if (event.scope != EndpointUpdate::delta) remove_missing_engines(event.engines);
-  // Engine ids are always new: a pool that is not ready and has no channels would never be used again.
+  // Engine ids are not reused, so a pool that is not ready and has no channels is not needed again.
   std::erase_if(pools_,
                 [](const auto& pool) { return !pool.second.is_ready() && pool.second.channels() == 0; });
 }
--- a/src/core/coordinator_parts.hpp
+++ b/src/core/coordinator_parts.hpp
@@ -1,5 +1,5 @@
-/// The types that the query coordinator and the event dispatcher are assembled from. The build that shows
-/// that the explorer finds defects replaces some of them (seeded_parts.hpp); no other build contains these.
+/// The component types of the query coordinator and the event dispatcher. The test build with seeded defects
+/// replaces them with faulty variants (seeded_parts.hpp), which no other build contains.
 #pragma once
 
 #include "buffer_account.hpp"
--- a/src/core/coordinator_rules.cpp
+++ b/src/core/coordinator_rules.cpp
@@ -5,11 +5,11 @@
 AttemptResult CoordinatorRules::result_of_loss(const ChannelRecord& channel, const AttemptRecord& attempt,
                                                ChannelLossReason reason) {
   if (channel.is_unsent()) {
-    // A shortage on this machine, such as of descriptors, speaks against no engine.
+    // A shortage on this machine, such as of descriptors, is not counted against the engine.
     return reason == ChannelLossReason::local ? AttemptResult::not_sent : AttemptResult::connect_failed;
   }
   if (channel.state.is(ChannelState::cancelling)) return attempt.cancel_result();
-  return AttemptResult::reset;  // its end is unknown: it may still run
+  return AttemptResult::reset;  // the outcome is unknown: the query may still run
 }
 
 void CoordinatorRules::withdraw_sends(std::vector<HostAction>& actions, ChannelId channel) {
--- a/src/core/coordinator_rules.hpp
+++ b/src/core/coordinator_rules.hpp
@@ -23,7 +23,7 @@
 
   /// Ends the attempt's state and its timeout.
   static void finish(AttemptRecord& attempt, TimerService& timers) {
-    attempt.state.go(AttemptState::finished, "ended");
+    attempt.state.transition_to(AttemptState::finished, "ended");
     timers.disarm(attempt.timeout);
   }
 
@@ -34,14 +34,15 @@
   // ---- Channels ----
 
   /// Whether a channel whose answer ended may carry another query: all of the query was sent, no cancel can
-  /// still strike, and the engine holds no state of it.
+  /// still affect it, and the engine holds no state of it.
   [[nodiscard]] static bool is_reusable(const ChannelRecord& channel, const AnswerEnd& end) {
     return channel.state.is(ChannelState::busy) && end.reusable;
   }
 
-  /// From here on the channel is only waited for and then closed.
+  /// After a cancel the channel is never reused: it is closed once the engine confirms or the cancel grace
+  /// ends.
   static void mark_cancelling(ChannelRecord& channel) {
-    channel.state.go(ChannelState::cancelling, "module cancels");
+    channel.state.transition_to(ChannelState::cancelling, "module cancels");
   }
 
   /// Whether a channel is closed at once when its engine is no longer ready. What has not been sent must not
@@ -59,13 +60,13 @@
   [[nodiscard]] static AttemptResult result_of_loss(const ChannelRecord& channel,
                                                     const AttemptRecord& attempt, ChannelLossReason reason);
 
-  /// Removes what is still to be sent on the channel in this turn: its attempt counts as one that never ran.
+  /// Removes the sends on the channel that are not yet executed: their attempts count as never run.
   static void withdraw_sends(std::vector<HostAction>& actions, ChannelId channel);
 
   // ---- Dispatching ----
 
-  /// Whether the coordinator gets the result of a write before any event that waits, and before the next
-  /// action of the same turn: else an attempt that may run would pass for one that never did.
+  /// Whether the coordinator gets the result of a write before any pending event, and before the next action
+  /// of the same event. Otherwise an attempt that may run would be treated as one that never ran.
   [[nodiscard]] static bool precedes_pending_events(WriteResult result) {
     return result == WriteResult::complete;
   }
--- a/src/core/coordinator_state.cpp
+++ b/src/core/coordinator_state.cpp
@@ -1,4 +1,4 @@
-// What the query coordinator reports about itself: counts, consistency checks, and the state visitor.
+// Introspection of the query coordinator: counts, consistency checks, and the state visitor.
 #include <algorithm>
 
 #include "query_coordinator.hpp"
@@ -44,7 +44,7 @@
 void QueryCoordinator::check_queries() const {
   for (const auto& [id, query] : queries_) {
     if (query.is_finished() && !query.has_active_attempt())
-      fail_assertion("query", id, "is finished, and its record remains");
+      fail_assertion("query", id, "is finished, but its record was not removed");
     for (std::size_t i = 0; i < query.attempts.size(); ++i) check_attempt(query, i);
   }
 }
@@ -52,7 +52,7 @@
 void QueryCoordinator::check_attempt(const QueryRecord& query, std::size_t attempt_index) const {
   const AttemptRecord& attempt = query.attempts[attempt_index];
   if (attempt.is_active() == attempt.result.has_value())
-    fail_assertion("query", query.id, "an attempt both active and ended, or neither");
+    fail_assertion("query", query.id, "an attempt is both active and ended, or neither");
   if (!attempt.channel) {
     if (attempt.is_active()) fail_assertion("query", query.id, "an attempt is active without a channel");
     return;
@@ -60,7 +60,7 @@
   const auto channel = channels_.find(*attempt.channel);
   if (channel == channels_.end() || channel->second.query != query.id ||
       channel->second.attempt_index != attempt_index)
-    fail_assertion("query", query.id, "attempt and channel disagree");
+    fail_assertion("query", query.id, "an attempt and its channel do not refer to each other");
 }
 
 void QueryCoordinator::check_channels() const {
@@ -71,16 +71,16 @@
   const bool is_idle = channel.state.is(ChannelState::idle);
   const bool is_opening = channel.state.is(ChannelState::opening);
   const bool needs_timer = is_idle || is_opening || channel.state.is(ChannelState::cancelling);
-  if (needs_timer && !channel.timer) fail_assertion("channel", id, "no timer would end it");
+  if (needs_timer && !channel.timer) fail_assertion("channel", id, "has no timer that ends its state");
   if (channel.paused) {
     const auto session =
         channel.query ? sessions_.find(queries_.at(*channel.query).session) : sessions_.end();
     if (session == sessions_.end() || session->second.undelivered_bytes == 0)
-      fail_assertion("channel", id, "is paused, and no client is slow");
+      fail_assertion("channel", id, "is paused, but no client has undelivered bytes");
   }
-  if (is_idle && channel.query) fail_assertion("channel", id, "idle under an attempt");
+  if (is_idle && channel.query) fail_assertion("channel", id, "is idle, but carries an attempt");
   if (channel.use == ChannelUse::query && !is_idle && !is_opening && !channel.query)
-    fail_assertion("channel", id, "in use without a query");
+    fail_assertion("channel", id, "is in use, but carries no query");
 }
 
 void QueryCoordinator::check_pools() const {
@@ -89,7 +89,7 @@
     if (channel.use == ChannelUse::query) ++channels[channel.engine];
   for (const auto& [engine, pool] : pools_) {
     if (pool.channels() != channels[engine])
-      fail_assertion("pool of engine", engine, "channels are miscounted");
+      fail_assertion("pool of engine", engine, "wrong count of channels");
     if (pool.channels() > settings_->channels_per_engine)
       fail_assertion("pool of engine", engine, "more channels than allowed");
   }
@@ -99,18 +99,18 @@
   std::size_t bytes = 0;
   for (const auto& [id, session] : sessions_) bytes += session.undelivered_bytes;
   for (const auto& [id, channel] : channels_) bytes += channel.buffered_bytes;
-  if (bytes != buffers_.total()) fail_assertion("coordinator", 0, "buffered bytes are miscounted");
+  if (bytes != buffers_.total()) fail_assertion("coordinator", 0, "wrong count of buffered bytes");
   const auto unanswered = std::count_if(queries_.begin(), queries_.end(),
                                         [](const auto& entry) { return !entry.second.is_finished(); });
   if (static_cast<std::size_t>(unanswered) != unanswered_queries_)
-    fail_assertion("coordinator", 0, "open queries are miscounted");
+    fail_assertion("coordinator", 0, "wrong count of open queries");
 }
 
 // ---- State visitor ----
 
 void QueryCoordinator::visit(StateVisitor& visitor) {
   const StateWalk fields(visitor, now_);
-  // Channels first: what refers to one is identified by its state, since ids only count up.
+  // Channels first: references to a channel are identified by its state, since ids are never reused.
   visit_channels(fields);
   visit_pools(fields);
   visit_sessions(fields);
@@ -161,7 +161,7 @@
     fields.name(Name::session, query.session);
     fields.integers(query.class_index, query.priority, query.state.state());
     fields.number(query.memory_mb);
-    // When it arrived, and when attempts started, matters for accounts only.
+    // The times of its arrival and of the starts of its attempts affect only the reported durations.
     fields.until(query.arrived + query.client_timeout);
     fields.list(query.attempts, [&](const AttemptRecord& attempt) {
       fields.name(Name::engine, attempt.engine);
--- a/src/core/coordinator_timers.cpp
+++ b/src/core/coordinator_timers.cpp
@@ -6,9 +6,9 @@
 namespace paddlestand::core {
 
 void QueryCoordinator::on(const TimerExpired&) {
-  // Timers that are armed meanwhile wait for a later call, so that no event can keep this loop running.
-  const std::size_t most = timers_.size();
-  for (std::size_t i = 0; i < most; ++i) {
+  // Timers that are armed in this loop are left to a later call, so that the loop always ends.
+  const std::size_t armed_timers = timers_.size();
+  for (std::size_t i = 0; i < armed_timers; ++i) {
     const auto timer = timers_.pop_due(now_);
     if (!timer) break;
     std::visit([this](const auto& expired) { on_timer(expired); }, *timer);
--- a/src/core/engine_starts.cpp
+++ b/src/core/engine_starts.cpp
@@ -5,8 +5,8 @@
 namespace paddlestand::core {
 namespace {
 
-/// Starts are remembered for engines that are removed from the list and listed again with the same start;
-/// beyond this many, only those of listed engines.
+/// Start times are also kept for engines that were removed from the list, since they may be listed again with
+/// the same start time. Beyond this number, only those of listed engines are kept.
 constexpr std::size_t max_remembered = 16384;
 
 /// Zero means "long ago" to the decision module.
--- a/src/core/engine_starts.hpp
+++ b/src/core/engine_starts.hpp
@@ -1,6 +1,6 @@
-/// When engines started, on the caller's own clock. The platform reports starts as wall-clock times. The wall
-/// clock of this machine may be off or stepped, so it is not read: starts are only compared with each other.
-/// No I/O, not thread-safe.
+/// Converts the start times of engines to the caller's clock. The platform reports them as wall-clock times.
+/// This machine's wall clock may be wrong or may jump, so it is not read: start times are only compared with
+/// each other. No I/O; not thread-safe.
 #pragma once
 
 #include <map>
@@ -12,12 +12,12 @@
 
 class EngineStarts {
  public:
-  /// Replaces the starts of these entries, which count from 1970, by readings of the caller's clock. The
-  /// first list is of unknown age: its newest start counts as now, the others as earlier by their distance
-  /// from it. Later a start that was not known before counts as now: the engine's slow start lasts its full
-  /// time from when it is reported, never less.
+  /// Replaces the start times of these entries, which count from 1970, by times of the caller's clock. The
+  /// age of the first list is unknown: its newest start time maps to now, and the others keep their distance
+  /// to it. In later lists a new start time maps to now, so that the engine's slow start takes its full
+  /// duration from the time of the report.
   void map(TimePoint now, std::span<EngineEntry> entries);
-  /// From here on no list is the first.
+  /// Ends the treatment of lists as the first list.
   void first_list_ends() { first_list_ = false; }
 
  private:
--- a/src/core/event_dispatcher.hpp
+++ b/src/core/event_dispatcher.hpp
@@ -1,7 +1,7 @@
-/// Processes events one at a time: the actions that follow from one are executed before the next is
-/// processed. Events that arrive meanwhile wait, except for one kind: that a query's last byte was handed
-/// over reaches the query coordinator before anything else, or an attempt that may run would pass for one
-/// that never did.
+/// Processes events one at a time: the actions that follow from an event are executed before the next event
+/// is processed. Events that arrive in between are queued, with one exception: when the socket has accepted a
+/// query's last byte, the query coordinator is notified before any other event. Otherwise an attempt that may
+/// run would be treated as one that never ran.
 ///
 /// No I/O and no clock: HostInterface provides both. Not thread-safe.
 #pragma once
@@ -25,8 +25,8 @@
 #endif
 }  // namespace parts
 
-/// What a host provides: the clock, and the execution of actions. It may call EventDispatcher::dispatch while
-/// it executes one.
+/// Implemented by a host: provides the clock and executes actions. It may call EventDispatcher::dispatch
+/// while it executes an action.
 class HostInterface {
  public:
   virtual ~HostInterface() = default;
@@ -46,7 +46,7 @@
   virtual void execute(const Answer& action) = 0;
   virtual void execute(const LogMessage& action) = 0;
   virtual void execute(const ShutdownComplete& action) = 0;
-  /// The manager broke one of its own invariants.
+  /// Called when the monitor detects a violation of an invariant.
   virtual void on_violation(const InvariantViolation& violation) = 0;
 
  protected:
@@ -60,11 +60,11 @@
   /// `watch`: whether events and actions are checked against the invariants (docs/invariants.md).
   EventDispatcher(const CoreSettings& settings, bool watch);
 
-  /// Processes an event now, or after those that wait.
+  /// Processes an event, after those that are pending.
   void dispatch(CoreEvent event, HostInterface& host);
-  /// Whether an event is being processed, so that a further one would wait.
+  /// Whether an event is being processed, so that a further one would be queued.
   [[nodiscard]] bool is_dispatching() const { return dispatching_; }
-  /// From here on events are ignored.
+  /// Ignores all events from now on.
   void stop() { stopped_ = true; }
 
   /// When the next TimerExpired is due, if any.
@@ -83,8 +83,8 @@
 
   parts::Coordinator coordinator_;
   std::optional<InvariantMonitor> monitor_;
-  std::vector<HostAction> actions_;  // of the event being processed; a member to reuse its memory
-  std::deque<CoreEvent> pending_events_;  // bounded: a few for each action that follows from one event
+  std::vector<HostAction> actions_;  // of the current event; a member to reuse its memory
+  std::deque<CoreEvent> pending_events_;  // bounded: a few for each action of one event
   bool dispatching_ = false;
   bool stopped_ = false;
 };
--- a/src/core/query_coordinator.cpp
+++ b/src/core/query_coordinator.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// What is sent may wait until its channel is up: the module has to expect that.
+/// A query may be sent as late as its channel opens. The module needs this upper limit of the delay.
 CoreSettings with_send_delay(CoreSettings settings) {
   settings.module.max_send_delay = settings.connect_timeout;
   return settings;
@@ -34,7 +34,7 @@
       buffers_(*settings_) {}
 
 void QueryCoordinator::handle(TimePoint now, const CoreEvent& event, std::vector<HostAction>& actions) {
-  if (now < now_) fail_assertion("coordinator", 0, "time went back");
+  if (now < now_) fail_assertion("coordinator", 0, "time decreased");
   now_ = now;
   host_actions_ = &actions;
   std::visit([this](const auto& host_event) { on(host_event); }, event);
@@ -60,23 +60,23 @@
 
 void QueryCoordinator::on(const SessionClosed& event) {
   const auto found = sessions_.find(event.session);
-  if (found == sessions_.end()) fail_assertion("session", event.session, "closed, but not open");
+  if (found == sessions_.end()) fail_assertion("session", event.session, "closed, but was not open");
   SessionRecord& session = found->second;
   if (session.state.is(SessionState::active)) {
-    // Before the session goes: nothing that waits for its query may be sent while the query is unfinished.
+    // Before the session is removed: no query that waits for this one may be sent while it is unfinished.
     const QueryId id = session.query;
     finish_query(queries_.at(id), {.kind = AnswerKind::cancelled});
     notify_module(RequestAbandoned{id});
     process_module_events();
   }
-  session.state.go(SessionState::closed, "client disconnected");
+  session.state.transition_to(SessionState::closed, "client disconnected");
   buffers_.on_session_closed(session.undelivered_bytes);
   sessions_.erase(found);
 }
 
 void QueryCoordinator::on(const ClientCancelled& event) {
   const auto found = sessions_.find(event.session);
-  // A cancel that arrives after the answer must not strike the session's next query.
+  // A cancel that arrives after the answer must not affect the session's next query.
   if (found == sessions_.end() || !found->second.state.is(SessionState::active)) return;
   const QueryId id = found->second.query;
   finish_query(queries_.at(id), {.kind = AnswerKind::cancelled});
@@ -85,12 +85,12 @@
 
 void QueryCoordinator::on(const QueryArrived& event) {
   const auto found = sessions_.find(event.session);
-  if (found == sessions_.end()) fail_assertion("session", event.session, "asks, but is not open");
+  if (found == sessions_.end()) fail_assertion("session", event.session, "sent a query, but is not open");
   SessionRecord& session = found->second;
-  session.state.go(SessionState::active, "query arrived");
+  session.state.transition_to(SessionState::active, "query arrived");
   session.query = event.query;
   const auto [place, is_new] = queries_.emplace(event.query, QueryRecord(event.query, event.session, now_));
-  if (!is_new) fail_assertion("query", event.query, "its id came twice");
+  if (!is_new) fail_assertion("query", event.query, "its id is already in use");
   QueryRecord& query = place->second;
   query.class_index = event.class_index;
   query.client_timeout = event.client_timeout;
@@ -107,7 +107,7 @@
 
 void QueryCoordinator::notify_module(const Event& event) { module_events_.push_back(event); }
 
-// Actions may cause further events of the module; these wait their turn here and are never nested.
+// Actions may cause further module events. These are queued and processed in order, never nested.
 void QueryCoordinator::process_module_events() {
   if (processing_module_events_) return;
   processing_module_events_ = true;
@@ -155,10 +155,10 @@
   }
 }
 
-// Hosts report the endpoint list and its changes unasked.
+// Hosts report the endpoint list and its changes without a subscription.
 void QueryCoordinator::apply(const SubscribeEndpoints&) {}
 
-// Hosts know no peers yet: may_gossip is off.
+// Hosts do not support peers yet, and may_gossip is off.
 void QueryCoordinator::apply(const SendGossip&) {}
 
 void QueryCoordinator::apply(const Log& action) { emit(LogMessage{action.text}); }
--- a/src/core/query_coordinator.hpp
+++ b/src/core/query_coordinator.hpp
@@ -1,14 +1,15 @@
-/// The query coordinator: host events go in, become events of the decision module, and the module's actions
-/// come out as host actions. It owns one WorkloadManager, the records of sessions, queries, attempts and
-/// channels, and the channel pools. It never decides admission, routing, retries or rejections. It ensures
-/// what must hold while decisions are executed: one final answer for each query, no bytes after it, no reuse
-/// of a channel that a cancel could still strike, nothing sent to an engine that began to drain while its
-/// channel opened.
+/// The query coordinator translates host events into events of the decision module, and the module's actions
+/// into host actions. It owns one WorkloadManager, the records of sessions, queries, attempts and channels,
+/// and the channel pools. Admission, routing, retries and rejections are decided by the module alone. The
+/// coordinator ensures the invariants of their execution: one final answer for each query, no bytes after it,
+/// no reuse of a channel that a cancel could still affect, and no query sent to an engine that started to
+/// drain while its channel was opening.
 ///
-/// A copy behaves the same from there on and shares nothing that changes: the explorer branches by copying.
+/// A copy behaves like the original and shares no mutable state with it: the explorer branches by copying.
 ///
-/// Not thread-safe: one host thread owns it. Events of channels that were closed are ignored, since a host's
-/// completions may cross with CloseChannel; every other event that makes no sense throws IllegalTransition.
+/// Not thread-safe: one host thread owns it. Events of channels that were closed are ignored, since
+/// CloseChannel may be emitted while an event of the channel is pending. Every other event that does not fit
+/// the state throws IllegalTransition.
 ///
 /// The members are defined by concern: query_coordinator.cpp (entry points, sessions, the module's events),
 /// coordinator_attempts.cpp, coordinator_channels.cpp, coordinator_endpoints.cpp, coordinator_answers.cpp,
@@ -30,7 +31,7 @@
 
 class StateWalk;
 
-/// The sizes of what the coordinator holds.
+/// The numbers of records, timers and bytes that the coordinator holds.
 struct Counts {
   std::size_t sessions = 0;
   std::size_t queries_open = 0;  ///< without a final answer
@@ -40,14 +41,14 @@
   std::size_t channels_probing = 0;
   std::size_t bytes_buffered = 0;
   std::size_t timers = 0;
-  std::size_t own_timers = 0;  ///< without the module's
+  std::size_t own_timers = 0;  ///< not including those of the module
 };
 
 class QueryCoordinator {
  public:
   explicit QueryCoordinator(CoreSettings settings);
 
-  /// Processes one event and appends the actions that follow from it. `now` must never go back.
+  /// Processes one event and appends the resulting actions. `now` must never decrease.
   void handle(TimePoint now, const CoreEvent& event, std::vector<HostAction>& actions);
 
   /// When the next TimerExpired is due, if any.
@@ -57,20 +58,20 @@
   [[nodiscard]] TimePoint now() const { return now_; }
   [[nodiscard]] Counts counts() const;
 
-  /// Throws IllegalTransition where the records contradict each other: for tests, the explorer and builds
-  /// with assertions.
+  /// Throws IllegalTransition if the records contradict each other. For tests, the explorer and builds with
+  /// assertions.
   void check() const;
 
-  /// Visits everything that its future depends on, except its settings, as of its last event.
+  /// Visits all state that determines future behaviour, except the settings, as of the last event.
   void visit(StateVisitor& visitor);
 
  private:
-  friend class SeededCoordinator;  // of the test build with seeded defects alone
+  friend class SeededCoordinator;  // only in the test build with seeded defects
 
-  /// Its life. While draining it rejects new queries; when finished it holds none.
+  /// While draining, new queries are rejected; when finished, no query is left.
   enum class Lifecycle : std::uint8_t { running, draining, finished };
 
-  /// What a final answer says, besides the account of the query.
+  /// The fields of a final answer that do not follow from the query's record.
   struct Outcome {
     AnswerKind kind{};
     RetrySafety retry_safety = RetrySafety::unknown;
@@ -115,17 +116,17 @@
   void cancel_attempt(QueryRecord& query, std::uint32_t attempt_index);
   void cancel_on_engine(AttemptRecord& attempt);
   void time_out_attempt(QueryRecord& query, std::uint32_t attempt_index);
-  /// Ends an attempt that is not being answered: before it was sent, or while it is being sent.
+  /// Ends an attempt that has not been sent completely.
   void end_unsent_attempt(QueryRecord& query, std::uint32_t attempt_index, AttemptResult result);
-  /// Gives an attempt its one result and notifies the module once. The caller closes its channel or returns
-  /// it to the pool. `end`: the engine's report, if any. May remove the query's record.
+  /// Sets the result of an attempt, exactly once, and notifies the module. The caller closes its channel or
+  /// returns it to the pool. `end` is the engine's report, if any. May remove the query's record.
   void end_attempt(QueryRecord& query, std::uint32_t attempt_index, AttemptResult result,
                    const AnswerEnd* end = nullptr);
 
   // ---- Channels ----
   ChannelId open_channel(EngineId engine, ChannelUse use, QueryId query = 0);
   void close_channel(ChannelId id);
-  /// Returns a channel to its pool, or closes it where the pool is full or its engine not ready.
+  /// Returns a channel to its pool, or closes it if the pool is full or the engine is not ready.
   void return_to_pool(ChannelId id, ChannelRecord& channel);
   void mark_sent(ChannelRecord& channel);
   void end_probe(ChannelId id, AttemptResult result, const LoadReport& report = {});
@@ -143,7 +144,7 @@
   void discard(ChannelId id, ChannelRecord& channel);
   [[nodiscard]] AttemptResult result_of_end(const AnswerEnd& event, const QueryRecord& query,
                                             const AttemptRecord& attempt) const;
-  /// The one place where a query gets its final answer. May remove the query's record.
+  /// Emits the final answer of a query; nothing else does. May remove the query's record.
   void finish_query(QueryRecord& query, const Outcome& outcome);
   [[nodiscard]] Answer make_answer(const QueryRecord& query, const Outcome& outcome) const;
   void discard_active_attempts(QueryRecord& query);
@@ -175,13 +176,13 @@
   ChannelRecord* find_channel(ChannelId id);
   void emit(HostAction action) { host_actions_->push_back(std::move(action)); }
 
-  std::shared_ptr<const CoreSettings> settings_;  // never changes: copies share it
+  std::shared_ptr<const CoreSettings> settings_;  // immutable, shared by copies
   parts::DecisionModule module_;
   TimePoint now_{};
   TimePoint module_notified_at_{};
   std::vector<HostAction>* host_actions_ = nullptr;  // valid during handle()
 
-  std::deque<Event> module_events_;  // in order; empty between two host events
+  std::deque<Event> module_events_;  // pending, in order; empty between host events
   bool processing_module_events_ = false;
   std::vector<Action> module_actions_;
 
--- a/src/core/recent_stops.hpp
+++ b/src/core/recent_stops.hpp
@@ -1,8 +1,8 @@
-/// The stops of this process (SIGSTOP) that input which is read now may have waited through. No I/O, no
-/// clock.
+/// Records stops of this process (SIGSTOP), to bound how long input may have been waiting when it is read. No
+/// I/O, no clock.
 ///
-/// What arrived during a stop is read in the turns of the event loop right after it. Where the process is
-/// stopped again in one of these turns, it has waited since the first stop.
+/// Input that arrived during a stop is read in the iterations of the event loop right after it. If the
+/// process is stopped again in one of these, the input has been waiting since the first stop.
 #pragma once
 
 #include <algorithm>
@@ -13,24 +13,24 @@
 
 class RecentStops {
  public:
-  /// The process was stopped at some time between these two, the last look at the clock before the stop and
-  /// the first one after it.
+  /// The process was stopped between these two readings of the clock: the last before the stop, and the first
+  /// after it.
   void add(TimePoint last_before, TimePoint first_after) {
-    if (last_before > ended_ + memory) began_ = last_before;
+    if (last_before > ended_ + input_drain_time) began_ = last_before;
     ended_ = first_after;
   }
 
-  /// By how much earlier than `now` input that is read now may have arrived.
+  /// How long before `now` input that is read now may have arrived.
   [[nodiscard]] Duration delay(TimePoint now) const {
-    return now < ended_ + memory ? now - began_ : Duration{0};
+    return now < ended_ + input_drain_time ? now - began_ : Duration{0};
   }
 
  private:
-  /// Within this time after a stop, everything that arrived during it has been read.
-  static constexpr Duration memory = std::chrono::milliseconds(50);
+  /// Within this time after a stop, all input that arrived during it has been read.
+  static constexpr Duration input_drain_time = std::chrono::milliseconds(50);
 
-  TimePoint began_{};  // the first of several stops in a row
-  TimePoint ended_ = -memory;  // the last of them
+  TimePoint began_{};  // of the first of several stops in a row
+  TimePoint ended_ = -input_drain_time;  // of the last one
 };
 
 }  // namespace paddlestand::core
--- a/src/core/records.hpp
+++ b/src/core/records.hpp
@@ -1,5 +1,5 @@
-/// The coordinator's records of sessions, queries, attempts and channels. Values only: the query coordinator
-/// changes them.
+/// The coordinator's records of sessions, queries, attempts and channels. They are plain data; the query
+/// coordinator modifies them.
 #pragma once
 
 #include <algorithm>
@@ -24,15 +24,15 @@
   std::optional<TimerService::Handle> timeout;
   std::optional<AttemptResult> result;
   Duration duration{};  ///< valid once there is a result
-  bool answer_discarded = false;  ///< part of its answer was: it can't be served any more
-  bool timed_out = false;  ///< it is being cancelled for that reason
+  bool answer_discarded = false;  ///< part of its answer was discarded: it can no longer be served
+  bool timed_out = false;  ///< it is being cancelled because of its timeout
 
   [[nodiscard]] bool is_active() const { return !state.is(AttemptState::finished); }
-  /// The result where the cancel ended it.
+  /// The result if the attempt is ended by its cancel.
   [[nodiscard]] AttemptResult cancel_result() const {
     return timed_out ? AttemptResult::timed_out : AttemptResult::cancelled;
   }
-  /// Whether it has ended and certainly did not run on its engine.
+  /// Whether the attempt has ended and certainly did not run on its engine.
   [[nodiscard]] bool had_no_effect() const {
     return result && (*result == AttemptResult::rejected || *result == AttemptResult::connect_failed ||
                       *result == AttemptResult::not_sent);
@@ -59,7 +59,7 @@
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const AttemptRecord& attempt) { return attempt.is_active(); });
   }
-  /// Whether each of its attempts ended without having run: a repeat is safe.
+  /// Whether all attempts ended without having run, so that a retry is safe.
   [[nodiscard]] bool had_no_effect() const {
     return std::all_of(attempts.begin(), attempts.end(),
                        [](const AttemptRecord& attempt) { return attempt.had_no_effect(); });
@@ -71,7 +71,7 @@
 
   Machine<SessionState> state;
   QueryId query = 0;  ///< valid while active
-  std::size_t undelivered_bytes = 0;  ///< delivered, not consumed by the client yet
+  std::size_t undelivered_bytes = 0;  ///< emitted with Deliver, but not consumed by the client yet
 };
 
 struct ChannelRecord {
@@ -82,13 +82,13 @@
   ChannelUse use;
   TimePoint opened_at;
   Machine<ChannelState> state;
-  std::optional<QueryId> query;  ///< whose attempt it carries, or will once it is up
+  std::optional<QueryId> query;  ///< whose attempt it carries, or will carry once it is open
   std::uint32_t attempt_index = 0;
-  std::size_t buffered_bytes = 0;  ///< of an answer; the host holds them
+  std::size_t buffered_bytes = 0;  ///< of an answer, held by the host
   bool paused = false;
   std::optional<TimerService::Handle> timer;  ///< connect, idle, cancel grace or probe, by state
 
-  /// Whether nothing can have run on the engine through it yet.
+  /// Whether its query, if any, has not been sent completely, so that it can't have run.
   [[nodiscard]] bool is_unsent() const {
     return state.is(ChannelState::opening) || state.is(ChannelState::sending);
   }
--- a/src/core/state_machines.cpp
+++ b/src/core/state_machines.cpp
@@ -64,7 +64,7 @@
 void fail_transition(std::string_view machine, std::uint64_t id, std::string_view from, std::string_view to,
                      std::string_view why) {
   std::string text(machine);
-  text.append(" ").append(std::to_string(id)).append(": no way from ").append(from);
+  text.append(" ").append(std::to_string(id)).append(": illegal transition from ").append(from);
   text.append(" to ").append(to).append(" (").append(why).append(")");
   throw IllegalTransition(text);
 }
--- a/src/core/state_walk.hpp
+++ b/src/core/state_walk.hpp
@@ -1,5 +1,5 @@
-/// Helps to visit the core's records with a StateVisitor. Times are passed relative to now, so that none
-/// loses a nanosecond on the way through a double.
+/// Passes the core's records to a StateVisitor. Times are passed relative to now, so that the conversion to
+/// double loses no nanosecond.
 #pragma once
 
 #include <type_traits>
@@ -16,7 +16,8 @@
   static constexpr auto channel = StateVisitor::Name::channel;
 };
 
-/// Passes values to a visitor, which must outlive it. What each function means to the visitor: StateVisitor.
+/// Passes values to a visitor, which must outlive it. The functions have the meaning of those of
+/// StateVisitor.
 class StateWalk {
  public:
   StateWalk(StateVisitor& visitor, TimePoint now) : visitor_(visitor), now_(now) {
--- a/src/core/stream_table.hpp
+++ b/src/core/stream_table.hpp
@@ -1,9 +1,8 @@
-/// The streams of one connection to an engine: which attempt a frame that arrives on it belongs to. No I/O,
-/// not thread-safe.
+/// Maps the frames that arrive on one connection to an engine to attempts. No I/O; not thread-safe.
 ///
-/// Frames name a request, not an attempt. A late frame of an attempt that has ended must not be mistaken for
-/// one of its successor: so an id is used at most once in the life of a connection, and a retry of the same
-/// request uses another connection.
+/// Frames contain the id of a request, not of an attempt. A late frame of an attempt that has ended must not
+/// be assigned to a later attempt. Therefore an id is used at most once on a connection, and a retry of the
+/// same request uses another connection.
 #pragma once
 
 #include <cstddef>
@@ -16,25 +15,27 @@
 
 namespace paddlestand::core {
 
-using StreamId = std::uint64_t;  ///< the id of a request or a probe in its frames
+using StreamId = std::uint64_t;  ///< the id of a request or probe, as its frames contain it
 
-/// After this many ids a connection accepts no new stream, so that the ids it remembers stay bounded.
-inline constexpr std::size_t max_ids_of_a_connection = 1024;
+/// Limit of the ids used on one connection, which bounds the memory for them. A connection that has reached
+/// it accepts no new stream.
+inline constexpr std::size_t max_stream_ids_per_connection = 1024;
 
 class StreamTable {
  public:
-  /// Whether a stream with this id may be opened: none was before, and the connection is not exhausted.
+  /// Whether a stream with this id may be opened: the id is unused, and the connection is not exhausted.
   [[nodiscard]] bool may_carry(StreamId id) const;
-  /// Whether no further stream may be opened, whatever its id.
-  [[nodiscard]] bool exhausted() const { return used_.size() >= max_ids_of_a_connection; }
+  /// Whether the connection has reached its limit of ids, so that no further stream may be opened.
+  [[nodiscard]] bool exhausted() const { return used_.size() >= max_stream_ids_per_connection; }
 
-  /// Reserves the id for a stream that is going to be opened. False where it may not be.
+  /// Reserves the id for a stream that will be opened. Returns false if may_carry() is false.
   bool reserve(StreamId id, ChannelId channel);
-  /// Its first byte may be sent from here on. False where the id was not reserved for this channel.
+  /// Opens the stream: its first byte may be sent from now on. Returns false if the id is not reserved for
+  /// this channel.
   bool open(StreamId id, ChannelId channel);
-  /// Frames of it that arrive from here on belong to no stream.
+  /// Closes the stream: its later frames belong to no stream.
   void close(StreamId id);
-  /// No byte of it was sent, and none will be: the id may be used again.
+  /// Releases a stream of which no byte was or will be sent: the id may be used again.
   void release(StreamId id);
 
   /// The channel of an open stream; empty for any other id.
@@ -46,7 +47,7 @@
     bool open = false;
   };
   std::map<StreamId, Stream> live_;  // reserved or open
-  std::vector<StreamId> used_;  // sorted; includes those of live_
+  std::vector<StreamId> used_;  // sorted; includes the ids of live_
 };
 
 }  // namespace paddlestand::core
--- a/src/core/timer_queue.hpp
+++ b/src/core/timer_queue.hpp
@@ -1,4 +1,5 @@
-/// A queue of timers that can be disarmed. Equal times fall due in the order in which they were armed.
+/// A queue of timers that can be disarmed. Timers with equal due times expire in the order in which they were
+/// armed.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,10 @@
 
 enum class TimerUse : std::uint8_t { attempt_timeout, cancel_grace, connect, probe, idle_channel, shutdown };
 
-/// What to do when a timer falls due.
+/// The purpose and the subject of a timer.
 struct Timer {
   TimerUse use{};
-  std::uint64_t subject{};  ///< the channel; for `attempt_timeout` the query
+  std::uint64_t subject{};  ///< id of the channel; for `attempt_timeout`, of the query
   std::uint32_t attempt_index{};
 };
 
@@ -29,7 +30,7 @@
     return handle;
   }
 
-  /// Removes the timer, if it is armed, and clears the handle.
+  /// Removes the timer if it is armed, and clears the handle.
   void disarm(std::optional<Handle>& handle) {
     if (handle) queue_.erase(*handle);
     handle.reset();
@@ -50,7 +51,7 @@
 
   [[nodiscard]] std::size_t size() const { return queue_.size(); }
 
-  /// Calls `visit(due, timer)` for each timer, in the order in which they fall due.
+  /// Calls `visit(due, timer)` for each timer, in the order of their due times.
   template <typename Visit>
   void for_each(Visit visit) const {
     for (const auto& [handle, timer] : queue_) visit(handle.first, timer);
--- a/src/core/timer_service.hpp
+++ b/src/core/timer_service.hpp
@@ -1,5 +1,5 @@
-/// All timers of the query coordinator: its own, and those that the decision module asked for. Not
-/// thread-safe; has no clock of its own.
+/// The timers of the query coordinator: its own, and those that the decision module set. No clock; not
+/// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace paddlestand::core {
 
-/// A timer of the decision module, which gets its token back when it is due.
+/// A timer of the decision module, which receives the token when the timer expires.
 struct ModuleTimer {
   std::uint32_t token{};
 };
@@ -30,12 +30,13 @@
   void disarm(std::optional<Handle>& handle) { own_.disarm(handle); }
 
   /// Arms a timer of the module, due at the first multiple of the clock step that is not before `at`. Timers
-  /// of one token and one step are one, which bounds them by the number of steps in the longest timeout.
+  /// with equal token and step are merged, so that the steps in the longest timeout bound their number.
   void arm_for_module(TimePoint at, std::uint32_t token);
 
   /// When the first timer of either kind is due.
   [[nodiscard]] std::optional<TimePoint> next_due() const;
-  /// Removes and returns the first timer that is due at `now`; of two due at the same time, the module's.
+  /// Removes and returns the first timer that is due at `now`. The module's timers precede others with the
+  /// same due time.
   std::optional<ExpiredTimer> pop_due(TimePoint now);
 
   [[nodiscard]] std::size_t size() const { return own_.size() + for_module_.size(); }
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -1,7 +1,7 @@
 /// The core's interface to its hosts: the events that a host reports to the query coordinator, and the
-/// actions that the host executes for it. No I/O, no clock, no protocol. A session is one client connection,
-/// a channel a lane to an engine that carries one query at a time; the bytes of queries and answers stay with
-/// the host, named by the ids below.
+/// actions that the host executes for it. No I/O, no clock, no protocol. A session is one client
+/// connection. A channel is a way to one engine that carries one query at a time. The bytes of queries and
+/// answers stay with the host, which finds them by the ids below.
 #pragma once
 
 #include <cstddef>
@@ -17,27 +17,27 @@
 
 namespace paddlestand::core {
 
-using SessionId = std::uint64_t;  ///< given by the host, never used twice
-using QueryId = RequestId;  ///< given by the host, never used twice
-using ChannelId = std::uint64_t;  ///< given by the query coordinator, never used twice
+using SessionId = std::uint64_t;  ///< assigned by the host, never reused
+using QueryId = RequestId;  ///< assigned by the host, never reused
+using ChannelId = std::uint64_t;  ///< assigned by the query coordinator, never reused
 
 enum class ChannelUse : std::uint8_t { query, probe };
 
-/// How an engine's answer ended, in terms that fit every protocol. What the loss of a channel means is not
-/// among them: it depends on how far the query had got, which the query coordinator knows.
+/// How an engine's answer ended, independent of the protocol. The loss of a channel is reported as
+/// ChannelLost instead: its meaning depends on the progress of the query, which the query coordinator knows.
 enum class Ending : std::uint8_t {
-  complete,  ///< the complete answer arrived, which may be an error that the statement itself caused
-  engine_error,  ///< the engine failed it; it may have run
+  complete,  ///< the complete answer arrived; it may be an error that the statement itself caused
+  engine_error,  ///< the engine failed; the query may have run
   full,  ///< rejected before it ran
-  expired,  ///< its deadline passed before the engine began: it never ran
-  cancelled,  ///< the engine says that it stopped it
+  expired,  ///< the deadline passed before the query started on the engine: it never ran
+  cancelled,  ///< the engine reports that it stopped the query
 };
 
-/// Why a channel was lost. `local`: a fault of this manager or its machine, which speaks against no engine.
+/// Why a channel was lost. `local`: a fault of this manager or its machine, not of the engine.
 enum class ChannelLossReason : std::uint8_t { refused, timed_out, closed, protocol_error, local };
 
 enum class AnswerKind : std::uint8_t { served, rejected, failed, cancelled };
-/// What a client may conclude about retrying what was not served.
+/// Whether a client may safely retry a query that was not served.
 enum class RetrySafety : std::uint8_t { safe, unknown };
 
 // ---- Events ----
@@ -45,7 +45,7 @@
 struct SessionOpened {
   SessionId session{};
 };
-/// The client disconnected: nothing can be sent to it any more.
+/// The client disconnected: nothing more can be sent to it.
 struct SessionClosed {
   SessionId session{};
 };
@@ -61,7 +61,7 @@
   double tables{};
   bool repeated{};
 };
-/// The client cancels whatever its session has active.
+/// The client cancels the active query of its session, if any.
 struct ClientCancelled {
   SessionId session{};
 };
@@ -85,7 +85,7 @@
 struct AnswerEnd {
   ChannelId channel{};
   Ending ending{};
-  std::size_t bytes{};  ///< of the answer, not reported by an AnswerPart yet
+  std::size_t bytes{};  ///< of the answer, not yet reported by an AnswerPart
   bool reusable = true;  ///< the engine holds no state of this query, such as an open transaction
   std::optional<Duration> work;
   std::optional<double> memory_mb;
@@ -96,7 +96,7 @@
   ProgressKind kind{};
   double level{};
 };
-/// The client consumed `bytes` of what was delivered to it.
+/// The client consumed `bytes` of the bytes delivered to it.
 struct ClientConsumed {
   SessionId session{};
   std::size_t bytes{};
@@ -105,7 +105,7 @@
   EndpointUpdate scope{};
   std::vector<EngineEntry> engines;
 };
-/// Graceful shutdown: reject new queries, and answer those held within the grace.
+/// Starts the graceful shutdown: new queries are rejected, and pending ones are answered within the grace.
 struct BeginShutdown {
   Duration grace{};
 };
@@ -122,9 +122,9 @@
   ChannelId channel{};
   EngineId engine{};
   ChannelUse use{};
-  QueryId query{};  ///< that it is opened for; zero: a probe
+  QueryId query{};  ///< for which it is opened; zero: a probe
 };
-/// Send a query on a channel that is up.
+/// Send a query on an open channel.
 struct SendQuery {
   ChannelId channel{};
   QueryId query{};
@@ -139,13 +139,13 @@
 struct CancelOnEngine {
   ChannelId channel{};
 };
-/// Change the grant of a query that runs, over a separate connection.
+/// Change the resource grant of a running query, over a separate connection.
 struct UpdateResourceGrant {
   ChannelId channel{};
   std::uint8_t priority{};
   double memory_mb{};
 };
-/// Close a channel. Bytes buffered for it are dropped, and no event of it follows.
+/// Close a channel. Bytes buffered for it are discarded, and no event of it follows.
 struct CloseChannel {
   ChannelId channel{};
 };
@@ -155,7 +155,7 @@
   SessionId session{};
   std::size_t bytes{};
 };
-/// Drop all bytes buffered for the channel.
+/// Discard all bytes buffered for the channel.
 struct Discard {
   ChannelId channel{};
 };
@@ -178,7 +178,7 @@
   QueryId query{};
   AnswerKind kind{};
   RetrySafety retry_safety{};
-  bool deadline_exceeded{};  ///< it could not be answered within the client timeout
+  bool deadline_exceeded{};  ///< the query could not be served within the client timeout
   bool begun{};  ///< part of the answer was delivered before
   bool shutting_down{};  ///< the manager is shutting down
   Duration retry_after{};  ///< zero: no advice
@@ -198,12 +198,12 @@
     std::variant<OpenChannel, SendQuery, SendProbe, CancelOnEngine, UpdateResourceGrant, CloseChannel,
                  Deliver, Discard, PauseChannel, ResumeChannel, Answer, LogMessage, ShutdownComplete>;
 
-/// What became of the bytes of a SendQuery or SendProbe when the host wrote them.
+/// The result of writing the bytes of a SendQuery or SendProbe.
 enum class WriteResult : std::uint8_t {
   complete,  ///< the socket accepted the last byte
   partial,  ///< QuerySent or ChannelLost follows later
-  failed,  ///< nothing, or not all, was handed over, and the channel is lost
-  suppressed,  ///< nothing was handed over, and nothing may be: no fault of the channel
+  failed,  ///< not all bytes were accepted, and the channel is lost
+  suppressed,  ///< nothing was written, since it may not be sent now; not a fault of the channel
 };
 
 /// Settings of the core; `module` holds those of the decision module.
@@ -215,11 +215,11 @@
   Duration connect_timeout{};
   Duration probe_timeout{};
   Duration cancel_grace{};  ///< how long an engine may take to confirm a cancel
-  std::size_t answer_buffer =
-      std::size_t{64} * 1024;  ///< bytes; an answer up to this size can be retried unseen by the client
-  std::size_t client_window =
-      std::size_t{256} * 1024;  ///< bytes delivered but not consumed beyond which a channel pauses
-  /// Bytes over all sessions; beyond it every channel may still hold one part.
+  /// Bytes. Until an answer exceeds them, its query can be retried unnoticed by the client.
+  std::size_t answer_buffer = std::size_t{64} * 1024;
+  /// Bytes. A channel pauses while more are delivered to its client but not consumed.
+  std::size_t client_window = std::size_t{256} * 1024;
+  /// Limit of buffered bytes over all sessions; beyond it every channel may still hold one part.
   std::size_t buffers_in_total = std::size_t{64} * 1024 * 1024;
 };
 
--- a/src/core/wire_attempts.hpp
+++ b/src/core/wire_attempts.hpp
@@ -1,9 +1,9 @@
-/// The attempts that engines may have, judged by what was sent and received on connections rather than by
-/// what the query coordinator was notified of: the one place that knows when an attempt has ended for its
-/// engine. No I/O, not thread-safe.
+/// The attempts that may be active on engines, derived from what was sent and received on connections rather
+/// than from the events of the query coordinator: this class alone knows when an attempt has ended for its
+/// engine. No I/O; not thread-safe.
 ///
-/// An attempt is active from its first byte until its end was read, its cancel has left this machine, or its
-/// connection is closed. A cancel that waits, here or in the socket's buffer, ends nothing.
+/// An attempt is active from its first byte until its end was read, its cancel was transmitted, or its
+/// connection is closed. A cancel that is still queued, here or in the socket's buffer, ends no attempt.
 #pragma once
 
 #include <cstddef>
@@ -13,25 +13,25 @@
 
 namespace paddlestand::core {
 
-using ConnectionId = std::uint64_t;  ///< given by the host, never used twice
+using ConnectionId = std::uint64_t;  ///< assigned by the host, never reused
 
 class WireAttempts {
  public:
-  /// Its frame is sent on this connection, or waits there.
+  /// The frame of an attempt is sent or queued on this connection.
   void began(std::uint64_t request, ConnectionId connection);
-  /// Its cancel was written, or waits; it may not have left this machine yet.
+  /// The cancel of the attempt was written or queued, but may not be transmitted yet.
   void cancelling(std::uint64_t request, ConnectionId connection);
-  /// Its end was read, its cancel has left, or it will never be sent.
+  /// The end of the attempt was read, its cancel was transmitted, or it will never be sent.
   void ended(std::uint64_t request, ConnectionId connection);
   /// Closing a connection ends all attempts on it.
   void connection_closed(ConnectionId connection);
 
-  /// Connections whose cancel of an attempt of this request may not have left. Before a retry is sent, the
-  /// cancel of each must have left, or the connection must be closed.
+  /// The connections with a cancel for this request that may not be transmitted yet. Before a retry is sent,
+  /// each of these cancels must be transmitted, or its connection closed.
   [[nodiscard]] std::vector<ConnectionId> being_cancelled(std::uint64_t request) const;
-  /// Whether the request has an active attempt that was not cancelled: no other may be sent.
+  /// Whether the request has an active attempt that was not cancelled, so that no other may be sent.
   [[nodiscard]] bool out(std::uint64_t request) const;
-  /// The number of all attempts that engines may have.
+  /// The number of attempts that may be active on engines.
   [[nodiscard]] std::size_t size() const { return size_; }
 
  private:
@@ -39,7 +39,7 @@
     ConnectionId connection{};
     bool cancelled = false;
   };
-  std::unordered_map<std::uint64_t, std::vector<Attempt>> attempts_;  // by request; none is empty
+  std::unordered_map<std::uint64_t, std::vector<Attempt>> attempts_;  // by request; no list is empty
   std::size_t size_ = 0;
 };
 
--- a/src/platform/engine_connections.cpp
+++ b/src/platform/engine_connections.cpp
@@ -30,8 +30,9 @@
 core::ConnectionLimits EngineConnections::limits_for(std::size_t engines) const {
   core::ConnectionLimits limits;
   limits.streams_per_connection = settings_.streams_per_connection;
-  limits.usual = std::max<std::size_t>(2, settings_.max_connections / std::max<std::size_t>(1, engines));
-  limits.room = size_ < settings_.max_connections || longest_idle() != nullptr;
+  limits.usual_connections =
+      std::max<std::size_t>(2, settings_.max_connections / std::max<std::size_t>(1, engines));
+  limits.may_open = size_ < settings_.max_connections || longest_idle() != nullptr;
   return limits;
 }
 
--- a/src/platform/engine_dispatch.cpp
+++ b/src/platform/engine_dispatch.cpp
@@ -161,7 +161,7 @@
   if (stream->connection->is_closed()) return core::WriteResult::failed;
   if (!may_begin_attempt(request->trace)) return core::WriteResult::suppressed;
   if (!stream->connection->stream_table().open(stream->id, action.channel)) {
-    host_.count(core::Violation::stream_id_used_twice, {Field::trace, observe::HexId{stream->id}});
+    host_.count(core::Violation::stream_id_reused, {Field::trace, observe::HexId{stream->id}});
     return core::WriteResult::suppressed;
   }
   return send_attempt(action, *stream, *request, facts_as_of);
@@ -216,7 +216,7 @@
     connections_.attempts().ended(trace, number);
   }
   if (!connections_.attempts().out(trace)) return true;
-  host_.count(core::Violation::second_attempt_out, {Field::trace, observe::HexId{trace}});
+  host_.count(core::Violation::second_active_attempt, {Field::trace, observe::HexId{trace}});
   return false;
 }
 
@@ -224,9 +224,9 @@
 void EngineDispatch::check_sent_attempt(const EngineStream& stream, const ClientRequest& request) {
   if (!stream.is_sent || stream.connection->is_closed()) return;
   if (request.abandoned || !request.client->is_open())
-    host_.count(core::Violation::begun_after_client_left, {Field::trace, observe::HexId{stream.id}});
+    host_.count(core::Violation::sent_after_disconnect, {Field::trace, observe::HexId{stream.id}});
   if (host_.now() - stream.last_progress > deadline_tolerance)
-    host_.count(core::Violation::deadline_beyond_client, {Field::trace, observe::HexId{stream.id}});
+    host_.count(core::Violation::deadline_after_client_timeout, {Field::trace, observe::HexId{stream.id}});
 }
 
 core::WriteResult EngineDispatch::send(const core::SendProbe& action) {
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -187,7 +187,7 @@
   facts.timeout = request.statement_timeout;
   facts.tags = std::move(request.tags);
   auto classified = classifier_.classify(facts);
-  if (const auto* problem = std::get_if<core::Problem>(&classified)) {
+  if (const auto* problem = std::get_if<core::TagError>(&classified)) {
     session->reject_request(pg::error("22023", problem->text));
     return;
   }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -123,7 +123,7 @@
   using Kind = core::ClassifierError::Kind;
   const auto config = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
   core::ClassifierSettings settings;
-  settings.class_otherwise = "lookup";
+  settings.default_class = "lookup";
   settings.rules = {{.user = {},
                      .database = {},
                      .application = {},
@@ -136,7 +136,7 @@
   ASSERT_TRUE(classifier.error().has_value());
   EXPECT_EQ(classifier.error()->kind, Kind::unknown_rule_class);
   EXPECT_EQ(classifier.error()->value, "nightly");
-  EXPECT_EQ(classifier.error()->text().find("a rule names class 'nightly'; wanted one of: lookup"), 0U);
+  EXPECT_EQ(classifier.error()->text().find("a rule names class 'nightly'; expected one of: lookup"), 0U);
 }
 
 TEST(Classifier, TagsFirstThenRulesThenTheDefault) {
@@ -162,7 +162,7 @@
   EXPECT_EQ(full.estimated_cost, 12500us);
   EXPECT_EQ(full.ordering_key, core::key_of("a"));
   EXPECT_TRUE(full.repeated);
-  EXPECT_TRUE(std::holds_alternative<core::Problem>(classify("select", {{"class", "x"}})));
+  EXPECT_TRUE(std::holds_alternative<core::TagError>(classify("select", {{"class", "x"}})));
 }
 
 }  // namespace
--- a/tests/core/connection_policy_test.cpp
+++ b/tests/core/connection_policy_test.cpp
@@ -1,4 +1,4 @@
-// What failed calls mean, and what may be done with a connection now.
+// Classification of failed system calls, and policies for connections.
 #include "core/connection_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -57,15 +57,15 @@
 
 TEST(Dispatch, NothingIsDispatchedForADisconnectedOrTimedOutClient) {
   EXPECT_EQ(may_dispatch({true, 1ms, 1s}), DispatchDecision::dispatch);
-  EXPECT_EQ(may_dispatch({false, 1ms, 1s}), DispatchDecision::client_gone);
-  EXPECT_EQ(may_dispatch({true, 1ms, 0s}), DispatchDecision::time_is_up);
+  EXPECT_EQ(may_dispatch({false, 1ms, 1s}), DispatchDecision::client_disconnected);
+  EXPECT_EQ(may_dispatch({true, 1ms, 0s}), DispatchDecision::deadline_exceeded);
 }
 
 TEST(Dispatch, ClientThatWasNotReadRecentlyIsReadFirst) {
   EXPECT_EQ(may_dispatch({true, 300ms, 1s}), DispatchDecision::read_client_first);
   EXPECT_EQ(may_dispatch({true, 300ms, 1s, true}), DispatchDecision::dispatch);
-  EXPECT_EQ(may_dispatch({true, 300ms, 0s, true}), DispatchDecision::time_is_up);
-  EXPECT_EQ(may_dispatch({false, 300ms, 1s, true}), DispatchDecision::client_gone);
+  EXPECT_EQ(may_dispatch({true, 300ms, 0s, true}), DispatchDecision::deadline_exceeded);
+  EXPECT_EQ(may_dispatch({false, 300ms, 1s, true}), DispatchDecision::client_disconnected);
 }
 
 TEST(Dispatch, EndpointEventsAreReadFirstAfterAStopOrALagOfTheLoop) {
@@ -97,7 +97,7 @@
 
 TEST(Close, OnlyAnIdleConnectionMayBeClosed) {
   EXPECT_EQ(may_close({0, 0, true, false}), CloseDecision::close);
-  EXPECT_EQ(may_close({1, 0, true, false}), CloseDecision::owes_answers);
+  EXPECT_EQ(may_close({1, 0, true, false}), CloseDecision::has_open_requests);
   EXPECT_EQ(may_close({0, 9, true, false}), CloseDecision::has_unsent_answers);
   EXPECT_EQ(may_close({0, 0, true, true}), CloseDecision::has_unread_input);
 }
@@ -109,10 +109,10 @@
 TEST(Violations, AreCountedByKindAndTheFirstOfAKindIsReported) {
   ViolationCounter counter;
 
-  EXPECT_TRUE(counter.add(Violation::deadline_beyond_client));
-  EXPECT_FALSE(counter.add(Violation::deadline_beyond_client));
-  EXPECT_TRUE(counter.add(Violation::begun_after_client_left));
-  EXPECT_EQ(counter.count(Violation::deadline_beyond_client), 2U);
+  EXPECT_TRUE(counter.add(Violation::deadline_after_client_timeout));
+  EXPECT_FALSE(counter.add(Violation::deadline_after_client_timeout));
+  EXPECT_TRUE(counter.add(Violation::sent_after_disconnect));
+  EXPECT_EQ(counter.count(Violation::deadline_after_client_timeout), 2U);
   EXPECT_EQ(counter.total(), 3U);
 }
 
--- a/tests/core/coordinator_harness.hpp
+++ b/tests/core/coordinator_harness.hpp
@@ -55,8 +55,8 @@
   return {id, state, 0, 0, 0, 1.0, started};
 }
 
-/// Counts the entries of all tables, including the module's.
-class Entries : public StateVisitor {
+/// Counts the entries of all visited tables, including the module's.
+class EntryCounter : public StateVisitor {
  public:
   void clock(double&) override {}
   void number(double&) override {}
@@ -66,13 +66,13 @@
   void name(Name, std::uint64_t&) override {}
   void generator(std::mt19937_64&) override {}
   std::size_t table(std::size_t entries, bool) override {
-    all += entries;
+    total += entries;
     return entries;
   }
   void entry() override {}
   void end() override {}
 
-  std::size_t all = 0;
+  std::size_t total = 0;
 };
 
 class CoordinatorHarness {
@@ -91,7 +91,7 @@
     return actions;
   }
 
-  /// Lets time pass and fires each timer when it is due.
+  /// Advances the clock and fires each timer at its due time.
   void advance(Duration by) {
     const TimePoint until = now_ + by;
     for (auto due = coordinator_.due(); due && *due <= until; due = coordinator_.due()) {
@@ -104,15 +104,16 @@
   void set_endpoints(std::vector<EngineEntry> entries, EndpointUpdate scope = EndpointUpdate::full) {
     handle(EndpointsUpdated{scope, std::move(entries)});
   }
-  void submit(QueryId id, std::uint32_t cls = 0, std::uint64_t key = 0, Duration client_timeout = 5s) {
+  void submit(QueryId id, std::uint32_t class_index = 0, std::uint64_t key = 0,
+              Duration client_timeout = 5s) {
     handle(SessionOpened{id});
-    submit_on(id, id, cls, key, client_timeout);
+    submit_on(id, id, class_index, key, client_timeout);
   }
-  void submit_on(SessionId session, QueryId id, std::uint32_t cls = 0, std::uint64_t key = 0,
+  void submit_on(SessionId session, QueryId id, std::uint32_t class_index = 0, std::uint64_t key = 0,
                  Duration client_timeout = 5s) {
-    handle(QueryArrived{session, id, cls, 0, key, client_timeout, 20ms, 0, 0, false});
+    handle(QueryArrived{session, id, class_index, 0, key, client_timeout, 20ms, 0, 0, false});
   }
-  /// Opens every channel that is opening to this engine; zero: to any.
+  /// Reports all opening channels to this engine as open; zero: to any engine.
   void open_channels(EngineId engine = 0) {
     const auto channels = channels_;
     for (const auto& [id, open] : channels) {
@@ -121,7 +122,7 @@
       handle(ChannelOpened{id});
     }
   }
-  /// Opens what is opening and sends the query.
+  /// Reports all opening channels as open and the query as sent. Returns its channel.
   ChannelId start(QueryId id) {
     open_channels();
     const ChannelId channel = channel_of(id);
--- a/tests/core/engine_starts_test.cpp
+++ b/tests/core/engine_starts_test.cpp
@@ -1,4 +1,4 @@
-// Starts of engines on this machine's monotonic clock, whatever the wall clock says.
+// Start times of engines on the monotonic clock, independent of the wall clock.
 #include "core/engine_starts.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration epoch = 1'700'000'000s;  // some time since 1970
+constexpr Duration epoch = 1'700'000'000s;  // an arbitrary time since 1970
 
 EngineEntry started(EngineId engine, Duration since_1970) {
   EngineEntry entry;
@@ -28,7 +28,7 @@
 
   EXPECT_EQ(list[0].started, 90s);
   EXPECT_EQ(list[1].started, 100s);
-  EXPECT_EQ(list[2].started, 0s);  // long ago stays long ago
+  EXPECT_EQ(list[2].started, 0s);  // zero, which means long ago, is kept
 }
 
 TEST(EngineStarts, LaterStartCountsFromItsFirstReport) {
--- a/tests/core/invariant_monitor_test.cpp
+++ b/tests/core/invariant_monitor_test.cpp
@@ -1,4 +1,4 @@
-// The account of the invariant monitor.
+// The records of the invariant monitor.
 #include "core/invariant_monitor.hpp"
 
 #include <gtest/gtest.h>
@@ -8,8 +8,8 @@
 namespace paddlestand::core::test {
 namespace {
 
-// While nothing can be sent, the monitor sees arrivals only: its account must not grow with them.
-TEST(InvariantMonitor, AccountStaysBoundedWhileNothingIsSent) {
+// Old arrivals must be removed from the retry window even while nothing is sent.
+TEST(InvariantMonitor, RecordsStayBoundedWhileNothingIsSent) {
   CoreSettings settings = small_core();
   settings.module.retry_budget = RetryBudgetSettings{1, 0, 1s};
   InvariantMonitor monitor(settings);
@@ -26,10 +26,10 @@
 
   EXPECT_TRUE(monitor.violations().empty());
 
-  Entries entries;
+  EntryCounter entries;
   monitor.visit(entries);
 
-  EXPECT_LE(entries.all, 11U);  // the arrivals of the last window
+  EXPECT_LE(entries.total, 11U);  // the arrivals of the last window
 }
 
 }  // namespace
--- a/tests/core/query_coordinator_channels_test.cpp
+++ b/tests/core/query_coordinator_channels_test.cpp
@@ -39,7 +39,7 @@
   EXPECT_TRUE(harness.emitted<CloseChannel>(opening));
 
   harness.advance(250ms);
-  harness.handle(ChannelOpened{opening});  // crossed with its close
+  harness.handle(ChannelOpened{opening});  // was pending when the channel was closed
 
   EXPECT_FALSE(harness.was_sent(2));
 
@@ -59,7 +59,7 @@
   harness.handle(ChannelLost{first, ChannelLossReason::refused});
   const ChannelId second = harness.actions<OpenChannel>().back().channel;
   ASSERT_NE(first, second);
-  harness.advance(310ms);  // accepts, and never completes the connect
+  harness.advance(310ms);  // the engine does not complete the connect
 
   EXPECT_TRUE(harness.emitted<CloseChannel>(second));
 
@@ -193,7 +193,7 @@
   EXPECT_TRUE(harness.emitted<CloseChannel>(probe));
 }
 
-// Its answer would be credited to the engine's new process.
+// Otherwise the probe's answer would be attributed to the engine's new process.
 TEST(QueryCoordinatorChannels, ActiveProbeEndsWhenItsEngineRestarts) {
   CoordinatorHarness harness;
   harness.set_endpoints({entry(1)});
--- a/tests/core/query_coordinator_test.cpp
+++ b/tests/core/query_coordinator_test.cpp
@@ -139,7 +139,7 @@
   ASSERT_EQ(harness.answers(2).size(), 1U);
   EXPECT_TRUE(harness.emitted<CancelOnEngine>(channel));
 
-  harness.end_answer(channel, Ending::cancelled, 40);  // its error is no longer for the client
+  harness.end_answer(channel, Ending::cancelled, 40);  // its error is not delivered to the client
 
   EXPECT_EQ(harness.delivered(1), 0U);
   EXPECT_TRUE(harness.emitted<CloseChannel>(channel));
@@ -289,7 +289,8 @@
   EXPECT_TRUE(harness.emitted<CloseChannel>(first));
 }
 
-// A retry may be sent later than it was decided, by the time to connect: the budget holds for sends, too.
+// A retry is sent when its channel opens, which may be later than it was decided: the budget must hold for
+// the times of the sends.
 TEST(QueryCoordinator, RetryBudgetHoldsWhenAChannelOpensLate) {
   CoreSettings settings = small_core();
   settings.module.retry_budget = RetryBudgetSettings{1, 0, 2s};
@@ -307,7 +308,7 @@
   harness.handle(ChannelLost{harness.start(2), ChannelLossReason::closed});
   harness.open_channels();
 
-  EXPECT_EQ(harness.sends(2), 1U);  // 1.85 s after the other one: answered at once
+  EXPECT_EQ(harness.sends(2), 1U);  // 1.85 s after the first retry: answered at once
   EXPECT_EQ(harness.answers(2).size(), 1U);
 
   harness.advance(300ms);
@@ -319,7 +320,7 @@
 }
 
 TEST(QueryCoordinator, SameEventsGiveTheSameActions) {
-  const auto play = [] {
+  const auto run = [] {
     CoordinatorHarness harness;
     harness.set_endpoints({entry(1), entry(2), entry(3)});
     for (QueryId id = 1; id <= 60; ++id) {
@@ -343,7 +344,7 @@
     return text;
   };
 
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(run(), run());
 }
 
 }  // namespace
--- a/tests/core/resource_level_test.cpp
+++ b/tests/core/resource_level_test.cpp
@@ -1,4 +1,4 @@
-// A long run: engines, ids and keys are always new, and what is remembered of them does not grow.
+// A long run in which engines, ids and keys are never reused: the state kept for them must stay bounded.
 #include <gtest/gtest.h>
 
 #include "coordinator_harness.hpp"
@@ -32,10 +32,10 @@
 
   /// The entries of all tables of both.
   [[nodiscard]] std::size_t entries() {
-    Entries found;
+    EntryCounter found;
     coordinator.visit(found);
     monitor.visit(found);
-    return found.all;
+    return found.total;
   }
 
   QueryCoordinator coordinator;
--- a/tests/core/stream_table_test.cpp
+++ b/tests/core/stream_table_test.cpp
@@ -1,4 +1,5 @@
-// Which stream a frame belongs to, which attempts engines may have, and on which connection a stream goes.
+// The assignment of frames to streams, the attempts that may be active on engines, and the choice of a
+// connection for a stream.
 #include "core/stream_table.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
   StreamTable table;
 
   ASSERT_TRUE(table.reserve(7, 1));
-  EXPECT_FALSE(table.reserve(7, 2)) << "reserved for another";
+  EXPECT_FALSE(table.reserve(7, 2)) << "reserved for another channel";
   ASSERT_TRUE(table.open(7, 1));
   EXPECT_EQ(table.channel_of(7), ChannelId{1});
 
@@ -34,7 +35,7 @@
 
   ASSERT_TRUE(table.reserve(7, 1));
   EXPECT_FALSE(table.channel_of(7));
-  EXPECT_FALSE(table.open(7, 2)) << "not this connection's";
+  EXPECT_FALSE(table.open(7, 2)) << "reserved for another channel";
   EXPECT_FALSE(table.open(8, 1)) << "not reserved";
 }
 
@@ -50,7 +51,7 @@
   ASSERT_TRUE(table.open(7, 2));
 
   table.close(7);
-  table.release(7);  // too late: it was used
+  table.release(7);  // no effect, since the stream was closed
 
   EXPECT_FALSE(table.may_carry(7));
 }
@@ -58,14 +59,14 @@
 TEST(StreamTable, RememberedIdsAreBounded) {
   StreamTable table;
 
-  for (StreamId id = 0; id < max_ids_of_a_connection; ++id) {
+  for (StreamId id = 0; id < max_stream_ids_per_connection; ++id) {
     ASSERT_FALSE(table.exhausted());
     ASSERT_TRUE(table.reserve(id, id + 1));
     table.close(id);
   }
 
   EXPECT_TRUE(table.exhausted());
-  EXPECT_FALSE(table.may_carry(max_ids_of_a_connection));
+  EXPECT_FALSE(table.may_carry(max_stream_ids_per_connection));
 }
 
 // ---- WireAttempts ----
@@ -111,50 +112,53 @@
 
 // ---- The choice of a connection ----
 
-constexpr ConnectionFacts used_up{.takes_streams = true, .may_carry = false, .streams = 0, .heard = {}};
-constexpr ConnectionFacts busy{.takes_streams = true, .may_carry = true, .streams = 1, .heard = {}};
-constexpr ConnectionFacts idle{.takes_streams = true, .may_carry = true, .streams = 0, .heard = {}};
-constexpr ConnectionLimits limits{.streams_per_connection = 2, .usual = 2, .room = true};
+constexpr ConnectionFacts id_already_used{
+    .accepts_streams = true, .may_carry = false, .streams = 0, .last_received = {}};
+constexpr ConnectionFacts busy{.accepts_streams = true, .may_carry = true, .streams = 1, .last_received = {}};
+constexpr ConnectionFacts idle{.accepts_streams = true, .may_carry = true, .streams = 0, .last_received = {}};
+constexpr ConnectionLimits limits{.streams_per_connection = 2, .usual_connections = 2, .may_open = true};
 
-ConnectionChoice choose(std::vector<ConnectionFacts> connections, const ConnectionLimits& most = limits,
+ConnectionChoice choose(std::vector<ConnectionFacts> connections,
+                        const ConnectionLimits& connection_limits = limits,
                         ChannelUse use = ChannelUse::query) {
-  return choose_connection(connections, most, use);
+  return choose_connection(connections, connection_limits, use);
 }
 
 TEST(ConnectionChoice, IdleConnectionThatCarriedTheRequestIsSkipped) {
-  EXPECT_EQ(choose({used_up}).kind, Kind::open);
+  EXPECT_EQ(choose({id_already_used}).kind, Kind::open);
 
-  const auto choice = choose({used_up, idle});
+  const auto choice = choose({id_already_used, idle});
 
   EXPECT_EQ(choice.kind, Kind::existing);
   EXPECT_EQ(choice.index, 1U);
 }
 
-TEST(ConnectionChoice, MostRecentlyHeardIdleConnectionIsPreferred) {
+TEST(ConnectionChoice, IdleConnectionThatReceivedBytesLastIsPreferred) {
   ConnectionFacts later = idle;
-  later.heard = TimePoint{5};
+  later.last_received = TimePoint{5};
 
   EXPECT_EQ(choose({idle, later}).index, 1U);
 }
 
 TEST(ConnectionChoice, StreamsShareAConnectionAtTheUsualNumber) {
-  const auto choice = choose({used_up, busy});
+  const auto choice = choose({id_already_used, busy});
 
   EXPECT_EQ(choice.kind, Kind::existing);
   EXPECT_EQ(choice.index, 1U);
 }
 
 TEST(ConnectionChoice, StreamExcludedOnlyByItsIdGetsAConnectionBeyondTheUsualNumber) {
-  EXPECT_EQ(choose({used_up, used_up}).kind, Kind::open);
-  EXPECT_EQ(choose({used_up, used_up, used_up}).kind, Kind::open);
-  EXPECT_EQ(choose({used_up, used_up, used_up, used_up}).kind, Kind::none) << "twice the usual number";
+  EXPECT_EQ(choose({id_already_used, id_already_used}).kind, Kind::open);
+  EXPECT_EQ(choose({id_already_used, id_already_used, id_already_used}).kind, Kind::open);
+  EXPECT_EQ(choose({id_already_used, id_already_used, id_already_used, id_already_used}).kind, Kind::none)
+      << "twice the usual number";
 }
 
 TEST(ConnectionChoice, NothingIsOpenedWithoutDescriptors) {
   ConnectionLimits none = limits;
-  none.room = false;
+  none.may_open = false;
 
-  EXPECT_EQ(choose({used_up, used_up}, none).kind, Kind::none);
+  EXPECT_EQ(choose({id_already_used, id_already_used}, none).kind, Kind::none);
   EXPECT_EQ(choose({}, none).kind, Kind::none);
 }
 
--- a/tests/core/wire_exploration_test.cpp
+++ b/tests/core/wire_exploration_test.cpp
@@ -1,7 +1,7 @@
 // Explores the mapping of frames to attempts (StreamTable, WireAttempts, choose_connection) against an engine
 // that may send any frame about any request that ever reached it: late, twice, out of order, or never. Two
-// things must hold: a frame is assigned to the attempt that caused it or to none, and an attempt never starts
-// while the engine has another one of its request. Incident 32 broke both.
+// invariants are checked: a frame is assigned to the attempt that caused it or to none, and an attempt never
+// starts while another attempt of its request is active on the engine. Both were violated in incident 32.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr std::size_t max_attempts = 3;
 constexpr std::size_t usual_connections = 2;
 
-/// The defects that the manager had once, to show that the exploration finds them.
+/// Former defects of the manager, to show that the exploration finds them.
 struct Defects {
   bool reuses_ids = false;
   bool trusts_unsent_cancels = false;
@@ -37,7 +37,7 @@
   std::size_t request{};
   ChannelId channel{};
   std::size_t connection{};
-  bool active = true;  ///< for the manager
+  bool active = true;  ///< according to the manager
   bool active_at_engine = true;
   bool cancel_is_unsent = false;
 };
@@ -48,7 +48,7 @@
 
   [[nodiscard]] const std::string& violation() const { return violation_; }
 
-  /// All moves that are possible now, as numbers for make().
+  /// All moves that are possible in this state, encoded for make().
   [[nodiscard]] std::vector<int> moves() const {
     std::vector<int> all;
     for (std::size_t r = 0; r < requests; ++r)
@@ -153,7 +153,7 @@
       return;
     }
     if (!defects_.trusts_unsent_cancels && wire_.out(id)) {
-      fail("a second attempt, by the manager's account");
+      fail("a second attempt according to the manager's records");
       return;
     }
     if (is_active_at_engine(request)) {
@@ -241,7 +241,7 @@
   std::string violation_;
 };
 
-/// The violation of the first history of up to `steps` moves that has one, of all there are; else empty.
+/// Explores all histories of up to `steps` moves. Returns the first violation, or an empty string.
 std::string first_violation(const ModelState& state, int steps) {
   if (!state.violation().empty()) return state.violation();
   if (steps == 0) return {};
