--- a/bench_adapter/wire_actions.cpp
+++ b/bench_adapter/wire_actions.cpp
@@ -73,7 +73,7 @@
 
 void write_record(WireWriter& out, std::uint16_t instance, const SendGossip& action) {
   std::string bytes;
-  for (const GossipEntry& entry : action.out) {
+  for (const GossipEntry& entry : action.entries) {
     if (bytes.size() + gossip_entry_bytes > max_gossip_bytes) break;
     append_gossip_entry(bytes, entry);
   }
--- a/include/paddlestand/workload_manager.hpp
+++ b/include/paddlestand/workload_manager.hpp
@@ -1,10 +1,9 @@
 /// \file
-/// The interface of the decision module: settings, events and actions, and the manager that turns one into
-/// the other. The decisions are in src/decision/.
+/// The interface of the decision module: its settings, the events that it handles, the actions that it
+/// returns and the class WorkloadManager. The implementation is in src/decision/.
 ///
-/// The module does no I/O and has no threads. Its host passes in what happens as events, each with the time,
-/// and carries out the actions that come back, in order. One manager must not be called from two threads at
-/// once.
+/// The module does no I/O and has no threads. Its host passes in events, each with the current time, and
+/// carries out the returned actions in order. One manager must not be called from two threads at once.
 #pragma once
 
 #include <chrono>
@@ -27,10 +26,11 @@
 
 /// Whether a request may run twice.
 enum class Idempotency : std::uint8_t { idempotent, idempotent_with_key, non_idempotent };
-/// The engines that share knowledge of idempotency keys: all, those of a zone, or those of a cell.
+/// Which engines share their record of idempotency keys: all, those of a zone, or those of a cell.
 enum class IdempotencyScope : std::uint8_t { all, zone, cell };
 enum class EngineState : std::uint8_t { removed, ready, draining };
-/// How a list of engines came about: a change, the complete list, a complete list from a cache, or none.
+/// What an endpoint update contains: changes only, the complete list, a complete list from a cache, or
+/// nothing because discovery failed.
 enum class EndpointUpdate : std::uint8_t { delta, full, cached, failed };
 /// What engines do when memory runs short.
 enum class MemoryShortage : std::uint8_t { queue, reduce_grant, overcommit };
@@ -40,7 +40,7 @@
 enum class AttemptResult : std::uint8_t {
   served,
   engine_error,  // may have run
-  rejected,  // didn't run: the engine refused it
+  rejected,  // didn't run: the engine rejected it
   timed_out,  // may have run, may still run
   connect_failed,  // didn't run
   reset,  // may have run
@@ -52,10 +52,10 @@
 struct ClassSettings {
   std::string name;
   Duration latency_objective{};
-  double objective_per_run_time{};  // added to the objective, times the request's work over its threads
+  double objective_per_run_time{};  // the objective grows by this times work / threads
   Duration deadline{};
   double priority_weight{};
-  double late_answer_weight{};  // share of the priority weight that an answer after the objective earns
+  double late_answer_weight{};  // share of the priority weight that applies to answers after the objective
   Idempotency idempotency{};
   IdempotencyScope idempotency_scope{};
   Duration idempotency_window{};  // how long engines remember an idempotency key
@@ -63,24 +63,24 @@
   bool streamed{};
   std::optional<std::vector<std::uint32_t>> allowed_zones;
   std::optional<std::vector<std::uint32_t>> allowed_kinds;
-  double threads{};  // that a request of this class runs on
-  bool writes_tables{};  // locks its group of tables on its engine while it runs
-  bool waits_for_writers{};
+  double threads{};  // threads that a request of this class uses
+  bool writes_tables{};  // a request locks its table group on its engine while it runs
+  bool waits_for_writers{};  // a request waits while its table group is locked
 };
 
-/// One kind of engine.
+/// Hardware of one kind of engine.
 struct KindSettings {
   double cores{};
   double memory_mb{};
 };
 
-/// One tenant.
+/// A tenant and its quota.
 struct TenantSettings {
   std::string name;
-  double quota_per_s{};  // over all instances
+  double quota_per_s{};  // requests per second over all managers
 };
 
-/// Limit on retries: within any window at most `floor`, plus `share` of the requests that arrived in it.
+/// Limit on retries: within any window, at most `floor` plus `share` times the requests that arrived in it.
 struct RetryBudgetSettings {
   double floor{};
   double share{};
@@ -109,8 +109,8 @@
   bool may_advise_retry{};
   bool may_hedge{};
   bool may_gossip{};
-  // Prices, as shares of a mean request's priority weight: of each attempt outside the zone, and of each 256
-  // bytes of gossip to a peer.
+  // Prices, as shares of the mean request's priority weight: cross_zone_price of each attempt outside the
+  // zone, gossip_price of each 256 bytes of gossip to a peer.
   double cross_zone_price{};
   double gossip_price{};
   double gossip_entry_bytes{};  // size of an announced attempt in a message
@@ -118,21 +118,22 @@
   Duration max_retry_after{};
   Duration answer_slack{};
   Duration drain_grace{};
-  double slow_start_capacity_share{};  // least share of its capacity that a starting engine has
+  double slow_start_capacity_share{};  // lowest share of its capacity that an engine in slow start has
   Duration slow_start_duration{};
+  // Work within `overload_window`, as a multiple of its capacity, that overloads an engine in slow start.
   double overload_multiple{};
   Duration overload_window{};
   Duration ordering_settle_time{};
-  Duration max_send_delay{};  // a send may wait so long for its connection
+  Duration max_send_delay{};  // longest time that a send waits for its connection
   std::optional<RetryBudgetSettings> retry_budget;
 };
 
-/// What an engine reports of its load.
+/// The load that an engine reports.
 struct LoadReport {
-  std::optional<double> queries;  // present on the engine
+  std::optional<double> queries;  // number of queries on the engine
 };
 
-/// One engine of the endpoint list.
+/// One entry of the endpoint list.
 struct EngineEntry {
   EngineId engine{};
   EngineState state{};
@@ -140,12 +141,12 @@
   std::uint32_t zone{};
   std::uint32_t cell{};
   double weight{};
-  TimePoint started{};  // zero: unknown, long ago
+  TimePoint started{};  // start of its process; zero: unknown, taken as long ago
 };
 
 // Events.
 
-/// Discovery has a new list of engines, or a change of it.
+/// Discovery has reported a new list of engines, changes to it, or a failure.
 struct EndpointsChanged {
   EndpointUpdate scope{};
   std::span<const EngineEntry> engines;  // valid only during the call
@@ -157,12 +158,12 @@
   std::uint32_t tenant{};
   std::uint64_t ordering_key{};  // zero: none
   Duration client_timeout{};
-  std::optional<Duration> estimated_cost;  // work of all threads, as time on one
+  std::optional<Duration> estimated_cost;  // work of all threads, as time on one thread
   double estimated_memory_mb{};  // zero: unknown
-  double tables{};  // number of the group of tables that it uses
+  double tables{};  // id of the table group that it uses
   bool repeated{};
 };
-/// The first part of an answer has gone to the client: the request can't be retried any more.
+/// The first part of an answer was sent to the client: the request can no longer be retried.
 struct AnswerStarted {
   RequestId request{};
 };
@@ -171,7 +172,7 @@
   RequestId request{};
   std::uint32_t attempt{};
   ProgressKind kind{};
-  double level{};  // share done, from 0 to 1, where `kind` is progress
+  double level{};  // completed share, from 0 to 1, if `kind` is progress
 };
 /// An attempt has ended. Attempts are numbered from 0 in the order of their Send actions.
 struct AttemptEnded {
@@ -180,20 +181,20 @@
   EngineId engine{};
   AttemptResult result{};
   Duration elapsed{};
-  bool request_over{};  // the client has its answer
+  bool request_over{};  // the client has received its answer
   std::optional<Duration> work;  // served: actual work, where the engine reports it
   std::optional<double> memory_mb;  // served: memory used, where the engine reports it
   LoadReport report;
 };
-/// The client has given up: no answer is due.
+/// The client stopped waiting: the request needs no answer.
 struct RequestAbandoned {
   RequestId request{};
 };
-/// A timer of SetTimer is due.
+/// A timer set by SetTimer has expired.
 struct TimerFired {
   std::uint32_t token{};
 };
-/// A health check has ended.
+/// A health check started by Probe has ended.
 struct ProbeEnded {
   EngineId engine{};
   AttemptResult result{};
@@ -204,12 +205,12 @@
 struct GossipEntry {
   EngineId engine{};
   double threads{};
-  double memory_share{};  // granted, of the engine's memory
+  double memory_share{};  // granted memory as a share of the engine's memory
 };
 /// A peer has announced its attempts in flight.
 struct GossipReceived {
   std::uint32_t author{};  // instance index of the peer
-  std::span<const GossipEntry> out;  // all that it announces; valid only during the call
+  std::span<const GossipEntry> entries;  // all its announced attempts; valid only during the call
 };
 
 using Event = std::variant<EndpointsChanged, RequestArrived, AnswerStarted, ProgressReported, AttemptEnded,
@@ -228,7 +229,7 @@
   RequestId request{};
   std::uint32_t attempt{};
 };
-/// Answer the client that it may try again: the request did not run, or may safely run twice.
+/// Answer the client that it may repeat the request, which did not run or may safely run twice.
 struct Reject {
   RequestId request{};
   Duration retry_after{};  // zero: no advice
@@ -237,7 +238,7 @@
 struct Fail {
   RequestId request{};
 };
-/// Deliver TimerFired after a time.
+/// Deliver TimerFired after `after`.
 struct SetTimer {
   std::uint32_t token{};
   Duration after{};
@@ -246,17 +247,17 @@
 struct Probe {
   EngineId engine{};
 };
-/// Resources for the request's next attempt; comes before its Send.
+/// Resources for the request's next attempt; emitted before its Send.
 struct SetResourceGrant {
   RequestId request{};
   std::uint8_t priority{};  // 0 to 3
-  double memory_mb{};  // zero: the engine's choice
+  double memory_mb{};  // zero: the engine decides
 };
 /// Subscribe to endpoint updates.
 struct SubscribeEndpoints {};
-/// Announce all attempts in `out` to every peer; what exceeds one message is dropped.
+/// Send all entries to every peer; entries that exceed one message are dropped.
 struct SendGossip {
-  std::vector<GossipEntry> out;
+  std::vector<GossipEntry> entries;
 };
 /// Write a line to the log.
 struct Log {
@@ -266,34 +267,36 @@
 using Action = std::variant<Send, Cancel, Reject, Fail, SetTimer, Probe, SetResourceGrant, SubscribeEndpoints,
                             SendGossip, Log>;
 
-/// Visits a state, field by field, always in the same order: to hash it, to write it, to read it back. Times
-/// are seconds on the clock of the visited object.
+/// Visits a state field by field, always in the same order, to hash it, serialize it or restore it. Times are
+/// seconds on the clock of the visited object.
 class StateVisitor {
  public:
   enum class Name : std::uint8_t { engine, request, session, channel };
 
   virtual ~StateVisitor() = default;
-  /// Whether the fields are to be set from what the visitor holds.
+  /// Whether the visitor sets the fields, to restore a state, instead of reading them.
   [[nodiscard]] virtual bool reads() const { return false; }
+  /// The current time of the visited object.
   virtual void clock(double& now) = 0;
-  /// The object visited next got its last event so many seconds ago.
-  virtual void behind(double) {}
+  /// The object visited next handled its last event `seconds` before the visit.
+  virtual void behind(double /*seconds*/) {}
   virtual void number(double& value) = 0;
   /// An integer, boolean or enumeration.
   virtual void integer(std::uint64_t& value) = 0;
-  /// A time that lies in the past.
+  /// A time in the past.
   virtual void since(double& time) = 0;
-  /// A time that matters only while it lies ahead.
+  /// A time that matters only while it is in the future.
   virtual void until(double& time) = 0;
-  /// A time that is counted over a window, with others of its table.
+  /// The time of an event that is counted over a sliding window.
   virtual void counted(double& time) { since(time); }
-  /// An identifier; a visitor may map it.
+  /// An identifier; the visitor may replace it by another, for example to normalize ids.
   virtual void name(Name kind, std::uint64_t& id) = 0;
+  /// The state of a random number generator.
   virtual void generator(std::mt19937_64& state) = 0;
-  /// Starts a container, whose order matters or not. Returns its number of entries, which differs from
-  /// `entries` only where a state is read back.
+  /// Starts a container; `in_order` is whether the order of its entries matters. Returns the number of
+  /// entries, which differs from `entries` only when a state is restored.
   virtual std::size_t table(std::size_t entries, bool in_order) = 0;
-  /// Starts an entry of the container.
+  /// Starts the next entry of the container.
   virtual void entry() = 0;
   /// Ends the container.
   virtual void end() = 0;
@@ -304,7 +307,7 @@
  public:
   explicit WorkloadManager(Settings settings);
   ~WorkloadManager();
-  /// The copy behaves as the original would from here on.
+  /// Copies the complete state: the copy reacts to further events as the original would.
   WorkloadManager(const WorkloadManager& other);
   WorkloadManager(WorkloadManager&&) noexcept;
   WorkloadManager& operator=(WorkloadManager&&) noexcept;
--- a/src/decision/action_sink.hpp
+++ b/src/decision/action_sink.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Where the module's parts put the actions that follow from an event.
+/// Collects the actions that follow from an event.
 #pragma once
 
 #include <utility>
@@ -10,7 +10,7 @@
 
 namespace paddlestand::decision {
 
-/// Appends to the caller's list of actions; the list must be set before the first action of each event.
+/// Appends actions to the caller's list, which must be set before the first action of each event.
 class ActionSink {
  public:
   void write_to(std::vector<Action>& actions) { actions_ = &actions; }
@@ -20,7 +20,7 @@
     actions_->emplace_back(std::in_place_type<T>, std::move(action));
   }
 
-  /// Wakes the manager after so many seconds.
+  /// Requests a TimerFired event after `after` seconds.
   void set_timer(double after) { emit(SetTimer{0, to_duration(after)}); }
 
  private:
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -9,38 +9,41 @@
 
 constexpr double proportional_gain = 4.93;  // k_p (paper, section 4)
 constexpr double integral_gain = 5.36;  // k_i (paper, section 4)
-/// 1/s: an error of a second moves the bound by about what drains in one.
+/// In 1/s. A latency error of one second moves the bound by about the cost that drains in one second.
 constexpr double gain_scale = 0.1;
-/// Target as a share of the latency objective: a mean at the objective itself would leave half of all late.
+/// Latency target as a share of the objective. A mean equal to the objective would leave half of all answers
+/// late.
 constexpr double objective_headroom = 0.7;
-/// Least bound as a share of the maximum. A class is never shut: that would reject light requests along with
-/// heavy ones.
+/// Lowest bound as a share of the maximum. A class is never closed completely, because light
+/// requests would then be rejected along with heavy ones.
 constexpr double min_bound_share = 0.1;
-/// Maximum of the bound, in largest costs.
+/// Highest bound, as a multiple of the largest cost.
 constexpr double max_bound_in_largest_costs = 2;
-constexpr double largest_cost_decay = 0.999;  // per period
-constexpr double min_largest_cost = 1e-3;  // s
-/// Weight of one period in the finish rate: one request is no rate.
+constexpr double largest_cost_decay = 0.999;  // factor per control period
+constexpr double min_largest_cost = 1e-3;  // seconds of work
+/// Weight of one control period in the finish rate. It is low because a period may contain a single request.
 constexpr double finish_rate_weight = 0.25;
-/// Weight of a period that drained faster than the learned rate.
+/// Weight in the drain rate of a period with a higher finish rate.
 constexpr double rate_increase_weight = 0.5;
-/// Weight of a slower period in which the class was held back.
+/// Weight in the drain rate of a period with a lower finish rate, if the class had a backlog at its start and
+/// end.
 constexpr double rate_decrease_weight = 0.1;
-/// Otherwise, per period: light load shows nothing of capacity.
+/// Factor on the drain rate in all other periods. They don't measure capacity, as the load was light.
 constexpr double rate_decay_per_period = 0.998;
-/// Share of the thread bound from which engines count as busy.
+/// Share of the thread bound from which engines count as under pressure.
 constexpr double pressure_threshold = 0.7;
 
 }  // namespace
 
-/// Ages of the requests of a class that are present.
+/// Ages of the unfinished requests of a class.
 struct AdmissionController::LatencySample {
-  double oldest = 0;  // arrival times within the objective
+  // Arrival times of the oldest and newest request within its objective, in seconds.
+  double oldest = 0;
   double newest = -1;
-  double present = 0;
-  double objective_sum = 0;  // s
-  double late = 0;
-  double late_age_sum = 0;  // s
+  double requests = 0;  // unfinished requests that are the first of their ordering key
+  double objective_sum = 0;  // seconds
+  double late_requests = 0;  // number of requests past their objective
+  double late_age_sum = 0;  // seconds
 };
 
 bool AdmissionController::admits(const Request& request) const {
@@ -62,7 +65,7 @@
   return grants_.competing_threads(request) >= pressure_threshold * state_.fleet.thread_bound;
 }
 
-bool AdmissionController::is_past_saving(const Request& request) const {
+bool AdmissionController::is_too_late(const Request& request) const {
   const double done_at = state_.now + costs_.solo_run_time_of(request);
   if (done_at > request.deadline - answer_margin(state_.settings)) return true;
   if (done_at <= request.arrived_at + costs_.latency_objective_of(request)) return false;
@@ -80,7 +83,7 @@
   ClassState& class_state = state_.class_of(request);
   class_state.had_arrivals = true;
   if (request.has_cost_estimate && class_state.drain_rate <= 0) {
-    // 1/rho starts as the first estimate over the objective, times the ready engines (design page).
+    // Initial 1/rho: first estimate / objective * ready engines (design page).
     const double ready_engines = std::max(1.0, state_.fleet.ready_engines);
     const double objective = to_seconds(state_.settings_of(request).latency_objective);
     class_state.drain_rate = request.estimated_cost * ready_engines / std::max(objective, 1e-3);
@@ -123,11 +126,12 @@
     const double objective = costs_.latency_objective_of(request);
     const double age = state_.now - request.first_of_key_since;
     sample.objective_sum += objective;
-    sample.present += 1;
+    sample.requests += 1;
     if (age > objective) {
-      // Work on a hung engine never finishes: without its age in the latency, all would look calm.
+      // Work on a hung engine never finishes. If its age weren't part of the latency, the class would seem to
+      // meet its objective.
       sample.late_age_sum += age;
-      sample.late += 1;
+      sample.late_requests += 1;
       continue;
     }
     sample.oldest = std::min(sample.oldest, request.first_of_key_since);
@@ -137,14 +141,15 @@
   return sample;
 }
 
-/// The highest rate seen counts, decaying slowly: while load is light, finished cost measures arrivals.
+/// The drain rate follows the highest finish rate and decays slowly: under light load, the finish rate shows
+/// how much arrives, not how much could finish.
 void AdmissionController::update_drain_rate(ClassState& class_state) const {
   class_state.finish_rate +=
       finish_rate_weight * (class_state.finished_cost / control_period - class_state.finish_rate);
   double& rate = class_state.drain_rate;
   if (class_state.finish_rate > rate) {
     rate += rate_increase_weight * (class_state.finish_rate - rate);
-  } else if (class_state.was_held_back && !class_state.queue.empty()) {
+  } else if (class_state.had_backlog && !class_state.queue.empty()) {
     rate += rate_decrease_weight * (class_state.finish_rate - rate);
   } else {
     rate *= rate_decay_per_period;
@@ -156,14 +161,15 @@
   const LatencySample sample = sample_latency(class_index);
   class_state.largest_cost *= largest_cost_decay;
   update_drain_rate(class_state);
-  if (sample.present == 0 && class_state.answers == 0 && !class_state.had_arrivals) {
+  if (sample.requests == 0 && class_state.answers == 0 && !class_state.had_arrivals) {
     class_state.feedback_bound = 0;
     class_state.last_error = 0;
   }
-  const double objective = sample.present > 0 ? sample.objective_sum / sample.present
-                                              : costs_.usual_latency_objective(class_index);
+  const double objective = sample.requests > 0 ? sample.objective_sum / sample.requests
+                                               : costs_.mean_latency_objective(class_index);
   const double target = objective_headroom * objective;
-  // max_data: at most what drains within the target, so that one rare heavy request can't allow a long queue.
+  // max_data: at most the cost that drains within the target, so that a rare heavy request can't allow a long
+  // queue.
   const double max_bound =
       std::min(max_bound_in_largest_costs * std::max(class_state.largest_cost, min_largest_cost),
                class_state.drain_rate * target);
@@ -183,7 +189,7 @@
 
 void AdmissionController::update_feedback_bound(ClassState& class_state, const LatencySample& sample,
                                                 double target) const {
-  const double answers = class_state.answers + sample.late;
+  const double answers = class_state.answers + sample.late_requests;
   if (answers <= 0) return;
   const double error = target - (class_state.latency_sum + sample.late_age_sum) / answers;
   // b_delta += k_p * ((k_i + 1) * error - last error)
@@ -197,7 +203,7 @@
   class_state.latency_sum = 0;
   class_state.answers = 0;
   class_state.had_arrivals = false;
-  class_state.was_held_back = !class_state.queue.empty();
+  class_state.had_backlog = !class_state.queue.empty();
 }
 
 }  // namespace paddlestand::decision
--- a/src/decision/admission_controller.hpp
+++ b/src/decision/admission_controller.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Admission: each class has a bound on the cost that may be queued, set anew once a control period.
+/// Admission control: each class has a bound on the cost that may be queued, updated once per control period.
 ///
-/// The mechanism is the design's (paper, section 4): a predictive part from the rate at which the class
-/// drains, and a reactive part, a proportional-integral controller on the latency error.
+/// As in the design (paper, section 4), the bound is the sum of a predictive part, from the rate at which the
+/// class drains, and a reactive part, a proportional-integral controller on the latency error.
 #pragma once
 
 #include <cstddef>
@@ -21,31 +21,31 @@
   AdmissionController(ManagerState& state, const CostModel& costs, const ResourceGrants& grants)
       : state_(state), costs_(costs), grants_(grants) {}
 
-  /// Whether the class's bound has capacity for `request`. A request that is alone in its class is admitted
-  /// while engines are free, lest the class be shut. Requests that wait for others of their key don't wait
-  /// for engines: they count only against their own key.
+  /// Whether `request` fits its class's bound. A request that is alone in its class is admitted while engines
+  /// are free, so that a small bound never closes the class. Requests that wait for earlier ones of their
+  /// ordering key don't wait for engines: they count only against requests of the same key.
   [[nodiscard]] bool admits(const Request& request) const;
 
-  /// Whether the engines' threads are nearly all in use, as far as `request` competes for them.
+  /// Whether most of the engines' threads are in use by requests that `request` competes with.
   [[nodiscard]] bool is_under_pressure(const Request& request) const;
 
-  /// Whether `request` can no longer earn anything: its deadline, or its latency objective where late answers
-  /// earn nothing, is nearer than its run time. Such a request is rejected at once instead of holding
-  /// capacity.
-  [[nodiscard]] bool is_past_saving(const Request& request) const;
+  /// Whether an answer to `request` would come too late: its run time exceeds the time to its deadline, or to
+  /// its latency objective if late answers have no weight or engines are under pressure. Such a request is
+  /// rejected at once instead of using capacity.
+  [[nodiscard]] bool is_too_late(const Request& request) const;
 
-  /// How long a rejected client should wait; zero: no advice.
+  /// How long the client should wait before it repeats a rejected request; zero: no advice.
   [[nodiscard]] Duration retry_advice(const Request& request) const;
 
-  /// Opens the bound of a class at its first requests, before there is anything to control.
+  /// Sets the initial bound of a class at its first requests, before there are measurements.
   void record_arrival(const Request& request);
   void record_answer(const Request& request, const Attempt& attempt);
   void record_start(const Request& request, const Attempt& attempt);
-  /// Removes an attempt from the running cost, when it ends or its engine is ejected: work on an ejected
-  /// engine would only shrink the bound. Does nothing the second time.
+  /// Removes an attempt from the running cost when it ends or its engine is ejected. Work on an ejected
+  /// engine would lower the bound for the other engines. Has no effect on later calls for the same attempt.
   void release_running_cost(const Request& request, Attempt& attempt);
 
-  /// Sets the bounds of all classes; call once a control period.
+  /// Updates the bounds of all classes; called once per control period.
   void update_bounds();
 
  private:
--- a/src/decision/attempt_timeouts.cpp
+++ b/src/decision/attempt_timeouts.cpp
@@ -9,20 +9,24 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Expected run times, and seconds added, after which a bad plan is likelier than a long request.
+/// Lowest timeout, as a multiple of the expected run time. Beyond it, a bad plan is more likely than a long
+/// request.
 constexpr double min_timeout_run_times = 2;
+/// Time added to the timeout, in seconds.
 constexpr double timeout_slack = 0.25;
-/// Factor on the scatter of a class's estimates, in the exponent of the run times above.
+/// The multiple grows with the scatter of a class's estimates, as exp(scatter_factor * scatter).
 constexpr double scatter_factor = 1.3;
-/// Factor on the timeout until the class's slowdown is known.
+/// Factor on the timeout until the class's slowdown is learned.
 constexpr double unlearned_timeout_factor = 2;
-/// Report periods without a report after which an attempt has ended unnoticed, or hangs.
+/// Report periods without a progress report after which an attempt hangs or its answer is lost.
 constexpr double max_missed_periods = 1.6;
-/// Projected run time, in expected ones, from which a bad plan is likelier than a long request.
+/// Projected run time, as a multiple of the expected one, above which a bad plan is more likely than a long
+/// request.
 constexpr double bad_plan_run_times = 4;
+/// Lower limit of the completed share; avoids division by zero.
 constexpr double min_progress = 1e-3;
-/// Cancellations allowed within the arrival window: so many, and this share of the requests that arrived.
-/// Without a limit, a slow fleet would see all its work cancelled.
+/// Cancellations allowed within the arrival window: the floor, plus this share of the requests that arrived.
+/// Without a limit, all work on a slow fleet would be cancelled.
 constexpr double cancellation_floor = 3;
 constexpr double cancellation_share = 0.2;
 
@@ -41,7 +45,7 @@
 
 void AttemptTimeouts::cancel_overdue() {
   if (!state_.settings.may_cancel) return;
-  state_.cancellations.forget_before(state_.now - arrival_window);
+  state_.cancellations.erase_before(state_.now - arrival_window);
   for (auto& [id, request] : state_.requests) {
     if (request.is_over || request.attempts.empty()) continue;
     Attempt& attempt = request.attempts.back();
@@ -57,8 +61,8 @@
   }
 }
 
-/// Progress reports distinguish a bad plan from a long request, and work from a lost answer; without them the
-/// age decides.
+/// Progress reports show whether a request is long or has a bad plan, and whether it runs or its answer is
+/// lost. Without reports, the attempt's age decides.
 bool AttemptTimeouts::is_overdue(const Request& request, const Attempt& attempt) const {
   const double expected = costs_.expected_run_time(request, attempt);
   if (attempt.last_progress_at >= 0) return is_overdue_by_progress(attempt, expected);
--- a/src/decision/attempt_timeouts.hpp
+++ b/src/decision/attempt_timeouts.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Timeouts of attempts: those far past their expected time are cancelled, to be repeated on another engine.
+/// Attempt timeouts: attempts far past their expected run time are cancelled and retried on another engine.
 #pragma once
 
 #include "decision/action_sink.hpp"
@@ -16,10 +16,10 @@
                   OutlierDetector& outliers)
       : state_(state), actions_(actions), costs_(costs), rules_(rules), outliers_(outliers) {}
 
-  /// Records a progress report of an attempt; those of unknown attempts are ignored.
+  /// Records a progress report; reports of unknown attempts are ignored.
   void record_progress(const ProgressReported& report);
 
-  /// Cancels overdue attempts that may still be retried, within a limit on cancellations.
+  /// Cancels overdue attempts that may be retried, up to a limit on the rate of cancellations.
   void cancel_overdue();
 
  private:
--- a/src/decision/class_state.cpp
+++ b/src/decision/class_state.cpp
@@ -12,7 +12,7 @@
   visit_numbers(visitor, c.latency_sum, c.answers, c.finish_rate, c.cost_bias, c.cost_samples, c.cost_scatter,
                 c.mean_cost, c.arrivals);
   visit_numbers(visitor, c.memory_bias, c.memory_samples, c.slowdown, c.slowdown_samples);
-  visit_integers(visitor, c.was_held_back, c.is_closed, c.had_arrivals, c.is_announced);
+  visit_integers(visitor, c.had_backlog, c.is_closed, c.had_arrivals, c.is_announced);
 }
 
 }  // namespace paddlestand::decision
--- a/src/decision/cost_model.cpp
+++ b/src/decision/cost_model.cpp
@@ -8,13 +8,14 @@
 namespace paddlestand::decision {
 namespace {
 
-constexpr double min_cost = 1e-3;  // s
-constexpr double default_cost = 0.1;  // s, while a class has no estimate
+constexpr double min_cost = 1e-3;  // seconds of work
+constexpr double default_cost = 0.1;  // seconds of work, until a class has an estimate
 constexpr double min_priority_weight = 1e-3;
-constexpr double min_run_time = 1e-4;  // s
-/// Quantile of run times that stand for work: waiting only lengthens them.
+constexpr double min_run_time = 1e-4;  // seconds
+/// Quantile that the bias follows where work is inferred from run times. Waiting lengthens some run times, so
+/// a mean would be too high.
 constexpr double run_time_quantile = 0.5;
-/// One sample counts as at most this multiple of what was expected.
+/// Limit of one sample, as a multiple of the learned value.
 constexpr double max_sample_ratio = 5;
 /// Limits of the learned biases.
 constexpr double min_bias = 0.05;
@@ -44,7 +45,7 @@
          settings.objective_per_run_time * cost_of(request) / settings.threads;
 }
 
-double CostModel::usual_latency_objective(std::size_t class_index) const {
+double CostModel::mean_latency_objective(std::size_t class_index) const {
   const ClassState& class_state = state_.classes[class_index];
   const ClassSettings& settings = state_.settings.classes[class_index];
   return to_seconds(settings.latency_objective) +
@@ -96,10 +97,10 @@
   const double ratio = work / request.estimated_cost;
   class_state.cost_samples += 1;
   const double weight = std::max(learning_rate, 1 / (class_state.cost_samples + 1));
-  const double surprise = is_reported ? std::min(ratio, max_sample_ratio * bias) - bias
-                                      : bias * (ratio > bias ? run_time_quantile : run_time_quantile - 1);
+  const double correction = is_reported ? std::min(ratio, max_sample_ratio * bias) - bias
+                                        : bias * (ratio > bias ? run_time_quantile : run_time_quantile - 1);
   class_state.cost_scatter += weight * (std::abs(std::log(ratio / bias)) - class_state.cost_scatter);
-  class_state.cost_bias = std::clamp(bias + weight * surprise, min_bias, max_bias);
+  class_state.cost_bias = std::clamp(bias + weight * correction, min_bias, max_bias);
 }
 
 void CostModel::learn_memory(const Request& request, double memory_mb) {
--- a/src/decision/cost_model.hpp
+++ b/src/decision/cost_model.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What requests are expected to cost, to take and to be worth: estimates corrected by what answers showed.
+/// Expected cost, run time and value of requests: estimates, corrected by what answers reported.
 #pragma once
 
 #include <cstddef>
@@ -9,45 +9,46 @@
 
 namespace paddlestand::decision {
 
-/// Answers after which a class's learned figures are trusted.
+/// Number of answers after which a class's learned statistics are used.
 inline constexpr double trusted_samples = 5;
-/// Least weight of one sample in a learned mean.
+/// Lowest weight of one sample in a learned mean.
 inline constexpr double learning_rate = 0.03;
-/// Least weight of one sample in figures that follow the present load.
+/// Lowest weight of one sample in statistics that follow the current load.
 inline constexpr double load_learning_rate = 0.1;
 
-/// Totals over the requests that arrived, for comparison with one request.
+/// Totals over the requests that arrived, to compare one request with the mean.
 struct TrafficMix {
   double requests = 0;
   double priority_weight = 0;
-  double work = 0;  // s on one thread
+  double work = 0;  // seconds on one thread
 };
 
-/// Expected costs, and how they are learned. Costs are seconds of work on one thread.
+/// Predicts costs and run times and learns from answers. Costs are seconds of work on one thread.
 class CostModel {
  public:
   explicit CostModel(ManagerState& state) : state_(state) {}
 
-  /// Expected work of a request: its estimate, corrected by the class's bias. Estimates far too low would let
-  /// the running cost understate the work, and the bound admit too much.
+  /// Expected work of a request: its estimate, corrected by the class's bias. Uncorrected, estimates that are
+  /// far too low would understate the running cost, and the bound would admit too much.
   [[nodiscard]] double cost_of(const Request& request) const;
-  /// Expected run time alone on an engine, in seconds.
+  /// Expected run time on an otherwise idle engine, in seconds.
   [[nodiscard]] double solo_run_time_of(const Request& request) const;
-  /// Expected run time of an attempt at the present load, in seconds.
+  /// Expected run time of an attempt at the current load, in seconds.
   [[nodiscard]] double expected_run_time(const Request& request, const Attempt& attempt) const;
-  /// Time from arrival in which the answer should come, in seconds.
+  /// Time from arrival within which the answer should come, in seconds.
   [[nodiscard]] double latency_objective_of(const Request& request) const;
-  /// The same for a mean request of a class.
-  [[nodiscard]] double usual_latency_objective(std::size_t class_index) const;
+  /// Latency objective of a request with the class's mean cost, in seconds.
+  [[nodiscard]] double mean_latency_objective(std::size_t class_index) const;
 
   [[nodiscard]] double priority_weight(std::size_t class_index) const;
-  /// Priority weight of a class over that of the mean request.
+  /// Priority weight of a class, relative to the mean request.
   [[nodiscard]] double relative_weight(std::size_t class_index) const;
   [[nodiscard]] TrafficMix traffic_mix() const;
 
   /// Updates the class's means with a request that carries a cost estimate.
   void record_arrival(const Request& request);
-  /// Learns from an answer. Where the engine reports no work, the run time stands for it if cores were free.
+  /// Learns from an answer. If the engine reports no work, work is inferred from the run time, provided that
+  /// the engine had spare cores.
   void learn(const Request& request, const Attempt& attempt, const AttemptEnded& answer);
 
  private:
--- a/src/decision/endpoint_list.cpp
+++ b/src/decision/endpoint_list.cpp
@@ -7,7 +7,7 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Time after which a failed subscription is made again, in seconds.
+/// Time after which a failed subscription is retried, in seconds.
 constexpr double resubscribe_delay = 1.0;
 
 }  // namespace
@@ -47,13 +47,13 @@
   }
   if (has_restarted) {
     outliers_.record_restart(engine);
-    disown_attempts(entry.engine);
+    mark_attempts_of_earlier_process(entry.engine);
   }
 }
 
-/// Attempts in flight at an engine that restarted were its earlier process's: how they end says nothing of
-/// the present one.
-void EndpointList::disown_attempts(EngineId engine) {
+/// Attempts in flight at an engine that restarted were sent to its previous process: their results say
+/// nothing about the current one.
+void EndpointList::mark_attempts_of_earlier_process(EngineId engine) {
   for (auto& [id, request] : state_.requests) {
     for (Attempt& attempt : request.attempts) {
       if (attempt.in_flight && attempt.engine == engine) attempt.of_earlier_process = true;
--- a/src/decision/endpoint_list.hpp
+++ b/src/decision/endpoint_list.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The list of engines, as discovery reports it.
+/// Applies endpoint updates from discovery to the engine table.
 #pragma once
 
 #include "decision/load_balancer.hpp"
@@ -13,13 +13,13 @@
   EndpointList(ManagerState& state, OutlierDetector& outliers, LoadBalancer& balancer)
       : state_(state), outliers_(outliers), balancer_(balancer) {}
 
-  /// Applies a change. A failed watch schedules a new subscription; a list that is not a delta removes all
-  /// engines that it doesn't name.
+  /// Applies an update. A failed one schedules a new subscription; a complete list removes all engines that
+  /// it doesn't contain.
   void apply(const EndpointsChanged& change);
 
  private:
   void apply_entry(const EngineEntry& entry);
-  void disown_attempts(EngineId engine);
+  void mark_attempts_of_earlier_process(EngineId engine);
 
   ManagerState& state_;
   OutlierDetector& outliers_;
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -8,37 +8,39 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Threads per core, all managers together: many requests wait for disks or locks.
+/// Threads per core over all managers; above 1 because many requests wait for disks or locks.
 constexpr double max_threads_per_core = 4.0;
-/// Threads per core of announced requests, all managers together; over it, run times grow steeply.
+/// Threads per core of announced requests over all managers; above it, run times grow steeply.
 constexpr double max_announced_threads_per_core = 2.5;
-/// Share of an engine's memory for announced requests: light ones need the remainder.
+/// Share of an engine's memory for announced requests; light requests need the remainder.
 constexpr double max_announced_memory_share = 0.8;
-/// Standard deviations over the thread bound that are allowed: few managers are at a small bound at once.
+/// Standard deviations by which the thread bound exceeds this manager's share of the threads. Few managers
+/// reach a small bound at the same time.
 constexpr double thread_deviations = 1.5;
-/// Factor on the memory bound while engines report little load.
-constexpr double max_memory_easing = 3;
-
-// Terms of an engine's load, in own threads over the thread bound.
-constexpr double tie_scatter = 0.05;  // differences below it count as a tie
-constexpr double failure_weight = 4;  // at a failure score of 1
-constexpr double zone_load_weight = 0.1;  // for each request more that engines of a zone report
-constexpr double writer_penalty = 4;  // a request that writes the same tables runs there
-constexpr double retry_penalty = 4;  // for each attempt of this request there
-/// An engine on probation gets the next safe request, whatever was seen of it before.
+/// Highest factor on the memory bound while engines report little load.
+constexpr double max_low_load_factor = 3;
+
+// Terms of an engine's load, in units of this manager's thread bound for the engine.
+constexpr double tie_break_noise = 0.05;  // smaller differences count as a tie
+constexpr double failure_weight = 4;  // times the failure score
+constexpr double zone_load_weight = 0.1;  // times the queries that engines of the zone report
+constexpr double writer_penalty = 4;  // if a request that writes the same table group runs there
+constexpr double retry_penalty = 4;  // for each earlier attempt of this request on the engine
+/// Lower than any other load: an engine on probation gets the next idempotent request whatever its failure
+/// score.
 constexpr double probation_load = -1;
 
 }  // namespace
 
 Engine* LoadBalancer::choose(const Request& request) {
   if (!fleet_has_capacity_for(request)) return nullptr;
-  const Weights weights = draw_weights(request);
+  const Weights weights = randomized_weights(request);
   if (!rules_.may_send_now(request)) return nullptr;
   Engine* best = nullptr;
   double best_load = 0;
   for (auto& [id, engine] : state_.engines) {
     if (!is_eligible(request, engine)) continue;
-    const double load = draw_load(request, engine, weights);
+    const double load = randomized_load(request, engine, weights);
     if (best == nullptr || load < best_load) {
       best = &engine;
       best_load = load;
@@ -54,9 +56,9 @@
   return grants_.has_memory_for(request);
 }
 
-/// The weight of the zones' load is drawn for each request: managers that see the same must not all move to
-/// another zone at once.
-LoadBalancer::Weights LoadBalancer::draw_weights(const Request& request) {
+/// The weight of the zones' load is random for each request, so that managers with the same information don't
+/// all move to another zone at the same time.
+LoadBalancer::Weights LoadBalancer::randomized_weights(const Request& request) {
   Weights weights;
   weights.cross_zone =
       failure_weight * state_.settings.cross_zone_price / costs_.relative_weight(request.class_index);
@@ -76,7 +78,7 @@
   return is_within_announced_limits(request, engine);
 }
 
-/// An engine that all managers together have filled with announced requests gets no more of them.
+/// Whether announced requests of all managers leave capacity on the engine for another one.
 bool LoadBalancer::is_within_announced_limits(const Request& request, const Engine& engine) const {
   const double threads = engine.threads + engine.peer_threads;
   if (!state_.class_of(request).is_announced || threads <= 0) return true;
@@ -87,14 +89,14 @@
          max_announced_memory_share * engine.memory_capacity;
 }
 
-double LoadBalancer::draw_load(const Request& request, const Engine& engine, const Weights& weights) {
+double LoadBalancer::randomized_load(const Request& request, const Engine& engine, const Weights& weights) {
   const ClassSettings& settings = state_.settings_of(request);
-  // All managers receive the same announcements: unannounced requests would all go where announced ones are
-  // fewest.
+  // Peers' threads count only for announced requests. All managers receive the same announcements, so their
+  // unannounced requests would all go to the engine with the fewest announced ones.
   const double peer_threads = state_.class_of(request).is_announced ? engine.peer_threads : 0;
-  // Managers that see the same must not choose the same, so ties are broken at random.
+  // Ties are broken at random, so that managers with the same information choose different engines.
   double load = (engine.threads + peer_threads + settings.threads) / std::max(thread_bound(engine), 1.0) +
-                tie_scatter * draw_uniform();
+                tie_break_noise * draw_uniform();
   const auto zone_load = state_.zone_load.find(engine.entry.zone);
   load += (engine.entry.zone != state_.settings.zone ? weights.cross_zone : 0) +
           (zone_load != state_.zone_load.end() ? weights.zone_load * zone_load->second : 0);
@@ -131,10 +133,10 @@
   fleet.thread_bound = threads + thread_deviations * std::sqrt(threads);
   double reported_load = state_.zone_load.empty() ? cores : 1;
   for (const auto& [zone, load] : state_.zone_load) reported_load = std::max(reported_load, load);
-  // The memory bound is eased while engines report fewer requests than they have cores.
+  // The memory bound is raised while engines report fewer queries than they have cores.
   const double cores_per_engine = cores / std::max(fleet.ready_engines, 1.0);
-  const double easing = std::clamp(cores_per_engine / reported_load, 1.0, max_memory_easing);
-  fleet.memory_bound = memory / instance_count(state_.settings) * easing;
+  const double low_load_factor = std::clamp(cores_per_engine / reported_load, 1.0, max_low_load_factor);
+  fleet.memory_bound = memory / instance_count(state_.settings) * low_load_factor;
 }
 
 void LoadBalancer::record_report(const Engine& engine, const LoadReport& report) {
--- a/src/decision/load_balancer.hpp
+++ b/src/decision/load_balancer.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Load balancing: which engine a request goes to, and this manager's part of the fleet's threads and memory.
+/// Load balancing: chooses the engine for a request and sets this manager's share of the fleet's threads and
+/// memory.
 #pragma once
 
 #include "decision/cost_model.hpp"
@@ -22,28 +23,28 @@
         slow_start_(slow_start),
         outliers_(outliers) {}
 
-  /// The engine with the least load among those where `request` may go and that have capacity for it; null
-  /// where there is none. Draws random numbers, so that managers that see the same choose differently.
+  /// The least loaded engine that `request` may be sent to and that has capacity for it; null if there is
+  /// none. Ties are broken at random, so that managers with the same information choose different engines.
   [[nodiscard]] Engine* choose(const Request& request);
 
-  /// Sets this manager's bounds on threads and memory over all engines.
+  /// Updates this manager's bounds on threads and memory over all engines.
   void update_bounds();
 
-  /// Learns the load of a zone from what one of its engines reports.
+  /// Updates the load of a zone from a report of one of its engines.
   void record_report(const Engine& engine, const LoadReport& report);
 
  private:
-  /// What the choice for one request weighs, the same for all engines.
+  /// Weights of the load terms that are the same for all engines.
   struct Weights {
     double cross_zone = 0;
     double zone_load = 0;
   };
 
-  [[nodiscard]] Weights draw_weights(const Request& request);
+  [[nodiscard]] Weights randomized_weights(const Request& request);
   [[nodiscard]] bool is_eligible(const Request& request, const Engine& engine) const;
   [[nodiscard]] bool fleet_has_capacity_for(const Request& request) const;
   [[nodiscard]] bool is_within_announced_limits(const Request& request, const Engine& engine) const;
-  [[nodiscard]] double draw_load(const Request& request, const Engine& engine, const Weights& weights);
+  [[nodiscard]] double randomized_load(const Request& request, const Engine& engine, const Weights& weights);
   [[nodiscard]] double thread_bound(const Engine& engine) const;
   [[nodiscard]] double draw_uniform();
 
--- a/src/decision/manager_state.cpp
+++ b/src/decision/manager_state.cpp
@@ -10,7 +10,7 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Guards against an absurd number of instances in the settings.
+/// Limits memory use if the settings contain an absurd number of instances.
 constexpr std::size_t max_peers = 65536;
 
 Settings with_usable_threads(Settings settings) {
@@ -55,13 +55,13 @@
   });
   visit_sequence(visitor, gossip.peers, [&](PeerReport& peer) { visit_peer(visitor, peer); });
   visit_numbers(visitor, fleet.ready_engines, fleet.unhealthy_engines, unannounced_memory, fleet.memory_bound,
-                gossip.tokens, fleet.thread_bound, usual_failure_rate);
+                gossip.tokens, fleet.thread_bound, mean_failure_rate);
   for (double& threads : threads_by_priority) visitor.number(threads);
   visitor.until(gossip.next_send_at);
   visitor.since(gossip.refilled_at);
   tenant_quota.visit_refill_time(visitor);
-  visitor.until(schedule.next_period);
-  visitor.until(schedule.next_watch);
+  visitor.until(schedule.next_control_period);
+  visitor.until(schedule.next_check);
   visitor.until(schedule.resubscribe_at);
   visit_integer(visitor, schedule.is_started);
   visitor.generator(random);
--- a/src/decision/manager_state.hpp
+++ b/src/decision/manager_state.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Everything that a manager's future depends on. The other files of this folder work on it: each holds one
-/// concern's decisions and constants, and refers to this state instead of having its own.
+/// All state of a manager that its decisions depend on. Each other file of this folder contains the decisions
+/// and constants of one concern and operates on this state instead of having its own.
 #pragma once
 
 #include <array>
@@ -21,41 +21,42 @@
 
 namespace paddlestand::decision {
 
-/// A time that lies beyond all others, in seconds.
+/// A time later than any other, in seconds.
 inline constexpr double never = 1e9;
 
-/// What one peer last announced.
+/// The latest announcement of one peer.
 struct PeerReport {
   double received_at = 0;
   std::vector<GossipEntry> in_flight;
 };
 
-/// Gossip with the peers.
+/// State of the gossip with peers.
 struct GossipState {
-  std::vector<PeerReport> peers;  // by position; empty where gossip is off
+  std::vector<PeerReport> peers;  // by instance index; empty if gossip is disabled
   double next_send_at = never;
   double refilled_at = 0;
-  double tokens = 0;  // messages that may be sent
+  double tokens = 0;  // token bucket: number of messages that may be sent
 };
 
-/// This manager's bounds over all engines, set by the load balancer.
+/// Numbers of engines, and this manager's bounds over all of them; set by the load balancer.
 struct FleetSummary {
   double ready_engines = 0;
-  double unhealthy_engines = 0;  // of the ready ones
+  double unhealthy_engines = 0;  // ready, but ejected or on probation
   double thread_bound = 0;
   double memory_bound = 0;  // MB
 };
 
-/// When periodic work is due.
+/// Times at which periodic work is due, in seconds since the first event.
 struct Schedule {
-  TimePoint origin{};  // the first event, on the host's clock
+  TimePoint origin{};  // time of the first event on the host's clock
   bool is_started = false;
-  double next_period = 0;
-  double next_watch = 0;
-  double resubscribe_at = 0;  // 0: not due
+  double next_control_period = 0;
+  double next_check = 0;
+  double resubscribe_at = 0;  // zero: not scheduled
 };
 
-/// State of one manager. A copy behaves as the original would; both share the settings, which never change.
+/// State of one manager. A copy is independent of the original, except that both share the immutable
+/// settings.
 struct ManagerState {
   explicit ManagerState(Settings given_settings);
 
@@ -71,25 +72,25 @@
     return ordering_keys.is_first(request.ordering_key, request.id);
   }
 
-  /// Visits everything but the settings.
+  /// Visits all state except the settings.
   void visit(StateVisitor& visitor);
 
   std::shared_ptr<const Settings> shared_settings;  // keeps `settings` alive
   const Settings& settings;
-  double now = 0;  // s since the first event
+  double now = 0;  // seconds since the first event
   std::vector<ClassState> classes;
   RequestTable requests;
   EngineTable engines;
   OrderingKeys ordering_keys;
   RetryBudget retry_budget;
-  RecentTimes cancellations;  // of overdue attempts
+  RecentTimes cancellations;  // cancellations of overdue attempts
   TenantQuota tenant_quota;
-  std::map<std::uint32_t, double> zone_load;  // queries that engines of a zone report, smoothed
+  std::map<std::uint32_t, double> zone_load;  // smoothed number of queries per engine by zone
   GossipState gossip;
   FleetSummary fleet;
-  double unannounced_memory = 0;  // MB granted to attempts that peers don't know of
-  std::array<double, 4> threads_by_priority{};  // in flight
-  double usual_failure_rate = 0;  // share of failures over all engines
+  double unannounced_memory = 0;  // MB granted to attempts that are not announced to peers
+  std::array<double, 4> threads_by_priority{};  // threads of attempts in flight
+  double mean_failure_rate = 0;  // share of failures over all engines
   Schedule schedule;
   std::mt19937_64 random;
 };
--- a/src/decision/ordering_keys.cpp
+++ b/src/decision/ordering_keys.cpp
@@ -7,17 +7,17 @@
 void OrderingKeys::append(std::uint64_t key, RequestId request) { requests_[key].push_back(request); }
 
 std::optional<RequestId> OrderingKeys::remove(std::uint64_t key, RequestId request) {
-  std::vector<RequestId>& of_key = requests_[key];
+  std::vector<RequestId>& key_requests = requests_[key];
   std::optional<RequestId> new_first;
-  if (of_key.size() > 1 && of_key.front() == request) new_first = of_key[1];
-  std::erase(of_key, request);
-  if (of_key.empty()) requests_.erase(key);
+  if (key_requests.size() > 1 && key_requests.front() == request) new_first = key_requests[1];
+  std::erase(key_requests, request);
+  if (key_requests.empty()) requests_.erase(key);
   return new_first;
 }
 
 void OrderingKeys::settle_until(std::uint64_t key, double time) { settle_until_[key] = time; }
 
-void OrderingKeys::forget_settled(double now) {
+void OrderingKeys::erase_settled(double now) {
   std::erase_if(settle_until_, [&](const auto& entry) { return entry.second < now; });
 }
 
--- a/src/decision/ordering_keys.hpp
+++ b/src/decision/ordering_keys.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Requests of one ordering key run one at a time, in order of arrival.
+/// Ordering keys: requests with the same key run one at a time, in order of arrival.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,19 @@
 
 namespace paddlestand::decision {
 
-/// The requests of each ordering key, and the time until which a key must settle. Key 0 means no key.
+/// The unfinished requests of each ordering key and the end of its settle time. Key 0 means no key.
 class OrderingKeys {
  public:
   void append(std::uint64_t key, RequestId request);
-  /// Removes a request of `key`. Returns the request that became first by that, if any.
+  /// Removes a request of `key`. Returns the request that became the first of the key as a result, if any.
   std::optional<RequestId> remove(std::uint64_t key, RequestId request);
 
-  /// Nothing of `key` starts until `time`, in seconds: an attempt that ended in doubt may still run.
+  /// Delays the next request of `key` until after `time`, in seconds, because an earlier attempt may still
+  /// run.
   void settle_until(std::uint64_t key, double time);
-  void forget_settled(double now);
+  void erase_settled(double now);
 
-  /// Whether no earlier request of its key is unfinished. True for key 0.
+  /// Whether no earlier request of `key` is unfinished. True for key 0.
   [[nodiscard]] bool is_first(std::uint64_t key, RequestId request) const;
   [[nodiscard]] bool is_settled(std::uint64_t key, double now) const;
 
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -8,41 +8,43 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Least weight of one outcome in an engine's failure rate: two failures in a row eject it.
+/// Lowest weight of one outcome in an engine's failure rate. With it, two failures in a row eject an engine.
 constexpr double outcome_weight = 0.25;
-/// Share of failures above the usual one at which an engine is ejected.
+/// An engine is ejected if its failure rate exceeds the mean over all engines by more than this.
 constexpr double ejection_failure_rate = 0.4;
-/// Time constant with which what was seen of an engine decays, in seconds.
+/// Time constant with which the weight of an engine's earlier outcomes decays, in seconds.
 constexpr double evidence_decay_time = 10;
-/// Time after which observations of an engine no longer count, in seconds.
+/// Time after which an engine's earlier outcomes no longer count, in seconds.
 constexpr double evidence_lifetime = 3 * evidence_decay_time;
-constexpr double max_ejection_time = 8.0;  // s
-/// Answers in a row, one at a time, that end a probation.
+constexpr double max_ejection_time = 8.0;  // seconds
+/// Number of consecutive successes that end a probation.
 constexpr int probation_length = 3;
 /// Backoff after an engine rejected an attempt, in seconds.
 constexpr double overload_backoff = 0.25;
-/// Expected run times, and seconds added, after which an attempt is overdue.
+/// An attempt is overdue after this multiple of its expected run time, plus the slack.
 constexpr double overdue_run_times = 3;
-constexpr double overdue_slack = 0.25;
+constexpr double overdue_slack = 0.25;  // seconds
 /// Time without an answer after which an engine with overdue attempts is silent, in seconds.
 constexpr double max_silence = 0.6;
+/// Number of overdue attempts from which an engine counts as silent.
 constexpr double min_overdue_attempts = 2;
 
 }  // namespace
 
 double OutlierDetector::failure_score(const Engine& engine) const {
-  return state_.usual_failure_rate + freshness(engine) * (engine.failure_rate - state_.usual_failure_rate);
+  return state_.mean_failure_rate +
+         evidence_weight(engine) * (engine.failure_rate - state_.mean_failure_rate);
 }
 
 void OutlierDetector::record_outcome(const Request& request, Attempt& attempt, AttemptResult result) {
   Engine& engine = state_.engines.at(attempt.engine);
   const bool has_answered = result == AttemptResult::served || result == AttemptResult::engine_error ||
                             result == AttemptResult::rejected;
-  if (has_answered) explain_resets(engine);
+  if (has_answered) attribute_resets_to_connection(engine);
   switch (result) {
     case AttemptResult::served: record_success(engine); break;
     case AttemptResult::engine_error: record_error(request, attempt, engine); break;
-    case AttemptResult::connect_failed: record_failure(engine, "not reached"); break;
+    case AttemptResult::connect_failed: record_failure(engine, "unreachable"); break;
     case AttemptResult::reset: record_reset(attempt, engine); break;
     case AttemptResult::rejected: engine.overloaded_until = state_.now + overload_backoff; break;
     case AttemptResult::timed_out:
@@ -86,10 +88,10 @@
 void OutlierDetector::check_engines() {
   const FleetSummary& fleet = state_.fleet;
   for (auto& [id, engine] : state_.engines) {
-    // What affects more than half of the engines together is no reason to eject any: the others would be
-    // overrun.
+    // At most half of the engines may be unhealthy at a time. If more of them fail, the cause is not in
+    // single engines, and ejecting them would overload the others.
     const bool may_eject = 2 * (fleet.unhealthy_engines + 1) <= fleet.ready_engines;
-    if (is_silent(engine) && may_eject) eject(engine, "silent");
+    if (is_silent(engine) && may_eject) eject(engine, "not responding");
     if (engine.health == Health::ejected && state_.now >= engine.ejected_until && engine.is_ready() &&
         !engine.is_probing) {
       start_recovery(engine);
@@ -97,7 +99,7 @@
   }
 }
 
-void OutlierDetector::forget_removed_engines() {
+void OutlierDetector::erase_removed_engines() {
   std::set<EngineId> referenced;
   for (const auto& [id, request] : state_.requests) {
     for (const Attempt& attempt : request.attempts) referenced.insert(attempt.engine);
@@ -129,12 +131,12 @@
   engine.last_answer_at = state_.now;
   update_failure_rate(engine, Outcome::failure, outcome_weight);
   if (engine.health == Health::probation ||
-      engine.failure_rate > ejection_failure_rate + state_.usual_failure_rate) {
+      engine.failure_rate > ejection_failure_rate + state_.mean_failure_rate) {
     eject(engine, reason);
   }
 }
 
-/// A request that fails at one engine after another is itself at fault: it counts against none of them.
+/// A request that fails on several engines is itself the cause: its failures count against none of them.
 void OutlierDetector::record_error(const Request& request, Attempt& attempt, Engine& engine) {
   attempt.failure_score_before = failure_score(engine);
   const auto earlier =
@@ -142,7 +144,7 @@
         return other.failure_score_before >= 0 && other.engine != attempt.engine;
       });
   if (earlier == request.attempts.end()) {
-    record_failure(engine, "failing fast");
+    record_failure(engine, "query errors");
     return;
   }
   Engine& earlier_engine = state_.engines.at(earlier->engine);
@@ -153,13 +155,14 @@
   }
 }
 
-/// A connection that ends resets each attempt on it, and an engine that ends resets all. While others go on,
-/// the engine is kept: its next answer, or its next failure, tells which it was.
+/// A lost connection resets the attempts on it; a failed engine resets all its attempts. While other attempts
+/// continue, the engine is not ejected: its next answer or failure shows which of the two happened.
 void OutlierDetector::record_reset(const Attempt& attempt, Engine& engine) {
-  const bool others_go_on = engine.queries > 0;
-  const bool is_of_one_loss = !engine.has_unexplained_resets || attempt.sent_at <= engine.first_reset_at;
-  if (engine.health != Health::healthy || !others_go_on || !is_of_one_loss) {
-    record_failure(engine, "not reached");
+  const bool has_other_attempts = engine.queries > 0;
+  const bool is_same_connection_loss =
+      !engine.has_unexplained_resets || attempt.sent_at <= engine.first_reset_at;
+  if (engine.health != Health::healthy || !has_other_attempts || !is_same_connection_loss) {
+    record_failure(engine, "unreachable");
     return;
   }
   if (!engine.has_unexplained_resets) {
@@ -171,20 +174,20 @@
   update_failure_rate(engine, Outcome::failure, outcome_weight);
 }
 
-/// The engine answers: the resets were of a connection alone, and count no more.
-void OutlierDetector::explain_resets(Engine& engine) {
+/// Called when the engine has answered: the earlier resets came from a lost connection and no longer count.
+void OutlierDetector::attribute_resets_to_connection(Engine& engine) {
   if (!engine.has_unexplained_resets) return;
   engine.has_unexplained_resets = false;
   engine.failure_rate = std::min(engine.failure_rate, engine.failure_score_before_resets);
 }
 
-/// One outcome weighs more after a gap: where few are seen of an engine, each has to say more.
+/// An outcome has more weight after a gap, so that the rate also adapts for an engine that is seldom used.
 void OutlierDetector::update_failure_rate(Engine& engine, Outcome outcome, double min_weight) {
   const double observed = outcome == Outcome::failure ? 1 : 0;
-  const double gap = 1 - freshness(engine);
+  const double gap = 1 - evidence_weight(engine);
   const double score = failure_score(engine);
   engine.failure_rate = score + std::max(min_weight, gap) * (observed - score);
-  state_.usual_failure_rate += learning_rate * (observed - state_.usual_failure_rate);
+  state_.mean_failure_rate += learning_rate * (observed - state_.mean_failure_rate);
   engine.last_outcome_at = state_.now;
 }
 
@@ -208,8 +211,8 @@
   }
 }
 
-/// An engine must answer a probe first; that is no proof of health, so a probation of single requests
-/// follows.
+/// An engine must first answer a probe. As a probe doesn't prove that requests succeed, a probation with
+/// single requests follows.
 void OutlierDetector::start_recovery(Engine& engine) {
   if (state_.settings.may_probe) {
     engine.is_probing = true;
@@ -219,25 +222,25 @@
   }
 }
 
-/// Weight of what was seen of an engine, decaying from 1 to 0.
-double OutlierDetector::freshness(const Engine& engine) const {
+/// Weight of an engine's earlier outcomes, decaying from 1 to 0.
+double OutlierDetector::evidence_weight(const Engine& engine) const {
   return std::exp((engine.last_outcome_at - state_.now) / evidence_decay_time);
 }
 
-/// Doubled at each failed probation. A probation risks a request of ours: where this manager passes an engine
-/// seldom, it tries it as seldom.
+/// The time doubles at each failed probation. A probation puts a client's request at risk, so the time is at
+/// least the mean interval at which this manager sends a request to any one engine.
 double OutlierDetector::next_ejection_time(const Engine& engine) const {
   const double time = engine.health == Health::probation ? 2 * engine.ejection_time : initial_ejection_time;
   const double arrivals = state_.retry_budget.arrivals_within(arrival_window, state_.now);
   const double arrival_rate = std::max(1.0, arrivals) / arrival_window;
-  const double visit_interval = state_.fleet.ready_engines / arrival_rate;
-  return std::clamp(time, std::max(initial_ejection_time, visit_interval),
-                    std::max(max_ejection_time, 2 * visit_interval));
+  const double mean_send_interval = state_.fleet.ready_engines / arrival_rate;
+  return std::clamp(time, std::max(initial_ejection_time, mean_send_interval),
+                    std::max(max_ejection_time, 2 * mean_send_interval));
 }
 
 bool OutlierDetector::is_silent(const Engine& engine) const {
-  const double quiet_since = std::max(engine.last_answer_at, engine.busy_since);
-  return state_.now - quiet_since > max_silence && engine.overdue_attempts >= min_overdue_attempts;
+  const double silent_since = std::max(engine.last_answer_at, engine.busy_since);
+  return state_.now - silent_since > max_silence && engine.overdue_attempts >= min_overdue_attempts;
 }
 
 }  // namespace paddlestand::decision
--- a/src/decision/outlier_detector.hpp
+++ b/src/decision/outlier_detector.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Outlier detection: engines that fail or fall silent are ejected, and come back by a health check and a
-/// probation of single requests.
+/// Outlier detection: engines that fail or stop responding are ejected, and are readmitted after a health
+/// check and a probation with single requests.
 #pragma once
 
 #include <cstdint>
@@ -18,25 +18,26 @@
                   AdmissionController& admission)
       : state_(state), actions_(actions), costs_(costs), admission_(admission) {}
 
-  /// Expected share of failures at an engine, from 0 to 1: what was seen of it decays towards what is usual.
+  /// Expected share of failures at an engine, from 0 to 1. Without new outcomes it decays to the mean over
+  /// all engines.
   [[nodiscard]] double failure_score(const Engine& engine) const;
 
-  /// Judges the engine of an attempt by how the attempt ended.
+  /// Updates the health of an attempt's engine with the attempt's result.
   void record_outcome(const Request& request, Attempt& attempt, AttemptResult result);
-  /// Counts an overdue attempt that is cancelled. It may be a bad plan, so it says little of the engine.
+  /// Counts the cancellation of an overdue attempt. It has little weight, as the cause may be a bad plan.
   void record_overdue_cancellation(Engine& engine);
   void record_probe(Engine& engine, AttemptResult result);
-  /// The engine's process is a new one: failures of the earlier one don't count.
+  /// Discards the failures of the engine's previous process.
   void record_restart(Engine& engine);
 
-  /// Counts the overdue attempts of each engine.
+  /// Updates the number of overdue attempts of each engine.
   void count_overdue_attempts();
-  /// Ejects engines that answer nothing while attempts are overdue, and checks ejected ones whose time is
-  /// over.
+  /// Ejects engines that answer nothing while attempts are overdue, and starts the recovery of ejected ones
+  /// whose ejection time is over.
   void check_engines();
-  /// Erases engines that are not listed any more, of which nothing is in flight or remembered. Engines of a
-  /// fleet that scales get new ids for ever.
-  void forget_removed_engines();
+  /// Erases engines that are no longer listed or referenced and whose outcomes no longer count. Without this
+  /// the table would grow without limit, as an autoscaled fleet assigns new ids all the time.
+  void erase_removed_engines();
 
  private:
   enum class Outcome : std::uint8_t { success, failure };
@@ -45,11 +46,11 @@
   void record_failure(Engine& engine, const char* reason);
   void record_error(const Request& request, Attempt& attempt, Engine& engine);
   void record_reset(const Attempt& attempt, Engine& engine);
-  static void explain_resets(Engine& engine);
+  static void attribute_resets_to_connection(Engine& engine);
   void update_failure_rate(Engine& engine, Outcome outcome, double min_weight);
   void eject(Engine& engine, const char* reason);
   void start_recovery(Engine& engine);
-  [[nodiscard]] double freshness(const Engine& engine) const;
+  [[nodiscard]] double evidence_weight(const Engine& engine) const;
   [[nodiscard]] double next_ejection_time(const Engine& engine) const;
   [[nodiscard]] bool is_silent(const Engine& engine) const;
 
--- a/src/decision/peer_gossip.cpp
+++ b/src/decision/peer_gossip.cpp
@@ -9,26 +9,28 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Most that announcing a request may cost, as a share of what the request is worth.
+/// Highest price of announcing a request, as a share of the request's relative priority weight.
 constexpr double max_price_share = 0.05;
-/// Entries to each peer that the price of announcing one request counts.
+/// Number of entries per peer that announcing one request is assumed to take.
 constexpr double entries_per_request = 4;
-constexpr double priced_bytes = 256;  // bytes that the gossip price is given for
+constexpr double priced_bytes = 256;  // Settings::gossip_price is per this many bytes
 /// Messages per second that all managers together may send to each peer.
 constexpr double fleet_message_rate = 350;
+/// Messages that one manager may send in a burst.
 constexpr double max_message_burst = 3;
-/// Time for which the end of an attempt waits to be announced along with a start, in seconds.
+/// Delay before the end of an attempt is announced, in seconds, so that it can share a message with a start.
 constexpr double end_delay = 0.4;
-/// Period after which attempts in flight are announced again, in seconds: messages can be lost.
+/// Period after which attempts in flight are announced again, in seconds, because messages can be lost.
 constexpr double resend_period = 2.0;
-/// Time without a message after which a peer's announcements no longer count, in seconds.
+/// Time without a message after which a peer's announcements are dropped, in seconds.
 constexpr double gossip_expiry = 5;
 
 }  // namespace
 
 bool PeerGossip::should_announce(std::uint32_t class_index) const {
   const Settings& settings = state_.settings;
-  // Where requests wait in line for memory, an engine that too many chose harms only itself.
+  // If engines queue requests when memory runs short, overloading one engine slows down only its own
+  // requests.
   if (!settings.may_gossip || settings.memory_shortage == MemoryShortage::queue) return false;
   const double price = settings.gossip_price * entries_per_request * settings.gossip_entry_bytes *
                        (instance_count(settings) - 1) / priced_bytes;
@@ -79,7 +81,7 @@
   apply(peer, Change::remove);
   peer.received_at = state_.now;
   peer.in_flight.clear();
-  for (const GossipEntry& entry : message.out) {
+  for (const GossipEntry& entry : message.entries) {
     if (state_.engines.contains(entry.engine)) peer.in_flight.push_back(entry);
   }
   apply(peer, Change::add);
@@ -96,7 +98,7 @@
 void PeerGossip::apply(const PeerReport& report, Change change) {
   const double sign = change == Change::add ? 1 : -1;
   for (const GossipEntry& entry : report.in_flight) {
-    Engine& engine = state_.engines.at(entry.engine);  // known: receive() drops entries of unknown engines
+    Engine& engine = state_.engines.at(entry.engine);  // receive() drops entries of unknown engines
     engine.peer_threads += sign * entry.threads;
     engine.peer_memory += sign * entry.memory_share * engine.memory_capacity;
   }
--- a/src/decision/peer_gossip.hpp
+++ b/src/decision/peer_gossip.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gossip: managers announce to each other which attempts they have in flight, where that is worth its price.
+/// Gossip: managers announce their attempts in flight to each other if the benefit justifies the price.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,19 @@
   PeerGossip(ManagerState& state, ActionSink& actions, const CostModel& costs)
       : state_(state), actions_(actions), costs_(costs) {}
 
-  /// Whether requests of this class are worth the messages that announce their start and end to all peers.
+  /// Whether the priority weight of this class justifies the price of announcing its requests to all peers.
   [[nodiscard]] bool should_announce(std::uint32_t class_index) const;
 
   void record_start(const Attempt& attempt);
   void record_end(const Attempt& attempt);
-  /// Sends all announced attempts in flight, if that is due and the message rate allows it. Each message is
-  /// complete: the next one makes up for one that was lost.
+  /// Sends a message with all announced attempts in flight, if one is due and the message rate allows it.
+  /// Messages are complete, so a lost one is replaced by the next.
   void send_if_due();
 
-  /// Replaces what its author last announced. Messages of unknown authors and of this manager are ignored.
+  /// Replaces the author's previous announcement. Messages of unknown authors and of this manager are
+  /// ignored.
   void receive(const GossipReceived& message);
-  /// Drops what peers announced that have fallen silent.
+  /// Drops the announcements of peers that have sent no message for some time.
   void expire();
 
  private:
--- a/src/decision/recent_times.cpp
+++ b/src/decision/recent_times.cpp
@@ -8,7 +8,7 @@
 
 void RecentTimes::add(double time) { times_.push_back(time); }
 
-void RecentTimes::forget_before(double time) {
+void RecentTimes::erase_before(double time) {
   while (!times_.empty() && times_.front() < time) times_.pop_front();
 }
 
--- a/src/decision/recent_times.hpp
+++ b/src/decision/recent_times.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Times of recent events, for counts over a sliding window.
+/// Counts events over a sliding window.
 #pragma once
 
 #include <cstddef>
@@ -14,11 +14,11 @@
  public:
   /// `time` must not be earlier than any time added before.
   void add(double time);
-  void forget_before(double time);
+  void erase_before(double time);
 
-  /// Events later than `time`.
+  /// Number of events later than `time`.
   [[nodiscard]] double count_after(double time) const;
-  /// Events at `time` or later.
+  /// Number of events at `time` or later.
   [[nodiscard]] double count_from(double time) const;
   [[nodiscard]] std::size_t size() const { return times_.size(); }
 
--- a/src/decision/request_lifecycle.cpp
+++ b/src/decision/request_lifecycle.cpp
@@ -10,7 +10,7 @@
 
 namespace paddlestand::decision {
 
-void RequestLifecycle::hold(Request& request) {
+void RequestLifecycle::enqueue(Request& request) {
   ClassState& class_state = state_.class_of(request);
   std::vector<RequestId>& queue = class_state.queue;
   const auto place = std::find_if(queue.begin(), queue.end(), [&](RequestId id) {
@@ -18,7 +18,7 @@
   });
   queue.insert(place, request.id);
   class_state.queued_cost += costs_.cost_of(request);
-  request.is_held = true;
+  request.is_queued = true;
 }
 
 void RequestLifecycle::start_attempt(Request& request, Engine& engine) {
@@ -88,10 +88,10 @@
 void RequestLifecycle::close(Request& request) {
   remove_from_queue(request);
   state_.requests.close(request);
-  forget_if_done(request.id);
+  erase_if_done(request.id);
 }
 
-void RequestLifecycle::forget_if_done(RequestId id) {
+void RequestLifecycle::erase_if_done(RequestId id) {
   const Request* request = state_.requests.find(id);
   if (request == nullptr || !request->is_over || request->is_in_flight()) return;
   if (request->ordering_key != 0) {
@@ -102,15 +102,16 @@
 }
 
 void RequestLifecycle::remove_from_queue(Request& request) {
-  if (!request.is_held) return;
+  if (!request.is_queued) return;
   ClassState& class_state = state_.class_of(request);
   std::erase(class_state.queue, request.id);
-  // Summed anew: differences of rounded costs would add up, and estimates are corrected meanwhile.
+  // Recomputed rather than decremented: rounding errors would accumulate, and the learned corrections of the
+  // estimates change while requests are queued.
   class_state.queued_cost = 0;
   for (const RequestId id : class_state.queue) {
     class_state.queued_cost += costs_.cost_of(state_.requests.at(id));
   }
-  request.is_held = false;
+  request.is_queued = false;
 }
 
 void RequestLifecycle::cancel_attempts(const Request& request) {
--- a/src/decision/request_lifecycle.hpp
+++ b/src/decision/request_lifecycle.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The life of a request: queued in its class, sent, answered, removed. Keeps all counts of what is
-/// queued and in flight.
+/// The lifecycle of a request: queued in its class, sent, answered, removed. Maintains all counts of queued
+/// requests and attempts in flight.
 #pragma once
 
 #include "decision/action_sink.hpp"
@@ -28,22 +28,22 @@
         slow_start_(slow_start),
         gossip_(gossip) {}
 
-  /// Puts a request into its class's queue, in order of arrival.
-  void hold(Request& request);
-  /// Sends a request to an engine. The caller has checked that the rules allow it.
+  /// Adds a request to its class's queue, in order of arrival.
+  void enqueue(Request& request);
+  /// Sends a request to an engine. The caller must have checked that the rules allow it.
   void start_attempt(Request& request, Engine& engine);
-  /// Removes an attempt that has ended from all counts.
+  /// Removes an ended attempt from all counts.
   void end_attempt(const Request& request, Attempt& attempt);
 
-  /// Gives the final answer now: a rejection where the client may repeat the request, else a failure. Does
-  /// nothing for a request that is over.
+  /// Gives the final answer: a rejection if the client may repeat the request, otherwise a failure. Has no
+  /// effect if the request is over.
   void reject_or_fail(Request& request);
-  /// The client has disconnected: nothing is to be answered.
+  /// Closes a request without an answer, because its client stopped waiting.
   void abandon(Request& request);
-  /// Marks a request as answered. The reference may not be used afterwards.
+  /// Marks a request as over. The reference must not be used afterwards.
   void close(Request& request);
   /// Erases a request that is over and has no attempt in flight.
-  void forget_if_done(RequestId id);
+  void erase_if_done(RequestId id);
 
  private:
   void remove_from_queue(Request& request);
--- a/src/decision/request_table.cpp
+++ b/src/decision/request_table.cpp
@@ -21,7 +21,7 @@
 
 void visit_request(StateVisitor& visitor, Request& request) {
   visit_integers(visitor, request.class_index, request.ordering_key, request.has_cost_estimate,
-                 request.over_quota, request.is_held, request.is_over, request.has_answer_begun);
+                 request.over_quota, request.is_queued, request.is_over, request.has_answer_started);
   visit_numbers(visitor, request.tables, request.estimated_cost, request.estimated_memory);
   visitor.since(request.arrived_at);
   visitor.since(request.first_of_key_since);
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The requests that are not yet forgotten, with their attempts, and an index of their deadlines.
+/// All requests that are unfinished or have attempts in flight, with an index of their deadlines.
 ///
 /// Times are seconds since the manager's first event; work is seconds on one thread.
 #pragma once
@@ -14,42 +14,42 @@
 
 namespace paddlestand::decision {
 
-/// One sending of a request to an engine.
+/// One attempt to run a request on an engine.
 struct Attempt {
   EngineId engine{};
-  std::uint8_t priority{};  // when sent
+  std::uint8_t priority{};  // from 0 to 3, as of the send
   double sent_at{};
-  double solo_run_time{};  // s, expected if nothing else ran on the engine
+  double solo_run_time{};  // seconds, expected on an otherwise idle engine
   double granted_memory{};  // MB
-  double failure_score_before = -1;  // of its engine, before the attempt failed there; negative: it has not
-  double last_progress_at = -1;  // last progress report; negative: none
-  double progress = 0;  // share done, last reported
-  double progress_at = 0;  // when `progress` was reported
+  double failure_score_before = -1;  // of the engine before this attempt failed; negative: it didn't
+  double last_progress_at = -1;  // time of the last progress report; negative: none
+  double progress = 0;  // completed share, as last reported
+  double progress_at = 0;  // time of that report
   bool in_flight = true;
   bool cancelled = false;
-  bool announced = false;  // to peers
-  bool had_spare_cores = false;  // its engine, when the attempt was sent: run time stands for work
-  bool may_have_run = true;  // until proved otherwise
+  bool announced = false;  // to peers, by gossip
+  bool had_spare_cores = false;  // on the engine at the send: work can be inferred from the run time
+  bool may_have_run = true;  // false once its result proves that it didn't
   bool in_running_cost = true;  // counted in its class's running cost
-  bool of_earlier_process = false;  // its engine restarted since: the outcome doesn't concern the present one
+  bool of_earlier_process = false;  // the engine restarted since the send: the result doesn't count for it
 };
 
-/// One request of a client.
+/// A client's request.
 struct Request {
   RequestId id{};
   std::uint32_t class_index{};
-  std::uint64_t ordering_key{};  // 0: none
+  std::uint64_t ordering_key{};  // zero: none
   double arrived_at{};
   double deadline{};
-  double tables{};  // group of tables that it reads or writes
-  double first_of_key_since{};  // since when no earlier request of its key is unfinished
-  double estimated_cost{};  // or the class's mean where there was no estimate
-  double estimated_memory{};  // MB, or 0
+  double tables{};  // id of the table group that it reads or writes
+  double first_of_key_since{};  // time since which no earlier request of its key is unfinished
+  double estimated_cost{};  // without an estimate: the class's mean
+  double estimated_memory{};  // MB; zero: unknown
   bool has_cost_estimate = false;
-  bool over_quota = false;  // its tenant was beyond its quota when it arrived
-  bool is_held = false;  // in its class's queue
-  bool is_over = false;  // answered or abandoned; attempts may be in flight still
-  bool has_answer_begun = false;  // part of its answer went to the client: it can't be sent again
+  bool over_quota = false;  // its tenant exceeded the quota when the request arrived
+  bool is_queued = false;  // in its class's queue
+  bool is_over = false;  // answered or abandoned; attempts may still be in flight
+  bool has_answer_started = false;  // part of the answer was sent to the client: no retry is possible
   std::vector<Attempt> attempts;
 
   [[nodiscard]] bool is_in_flight() const;
@@ -63,17 +63,17 @@
 
   /// Adds a request and indexes its deadline. The id must be new.
   Request& add(Request request);
-  /// Marks a request as over: its deadline doesn't matter any more.
+  /// Marks a request as over and removes its deadline from the index.
   void close(Request& request);
   void erase(RequestId id);
 
-  /// Null where the id is unknown.
+  /// Null if the id is unknown.
   [[nodiscard]] Request* find(RequestId id);
   [[nodiscard]] Request& at(RequestId id) { return records_.at(id); }
   [[nodiscard]] const Request& at(RequestId id) const { return records_.at(id); }
   [[nodiscard]] bool contains(RequestId id) const { return records_.contains(id); }
 
-  /// In order of their ids.
+  /// Iterates in order of ids.
   [[nodiscard]] auto begin() { return records_.begin(); }
   [[nodiscard]] auto end() { return records_.end(); }
   [[nodiscard]] auto begin() const { return records_.begin(); }
@@ -82,7 +82,7 @@
   /// Deadlines of the requests that are not over, earliest first.
   [[nodiscard]] const Deadlines& deadlines() const { return deadlines_; }
 
-  /// Visits all requests; restores the index where the visitor reads a state back.
+  /// Visits all requests; rebuilds the index when a state is restored.
   void visit(StateVisitor& visitor);
 
  private:
--- a/src/decision/resource_grants.cpp
+++ b/src/decision/resource_grants.cpp
@@ -8,16 +8,18 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Ratio of cores between neighbouring priorities (engines: 1 : 4 : 8 : 16).
+/// Assumed ratio of cores between adjacent priorities (engines use 1 : 4 : 8 : 16).
 constexpr double priority_step_ratio = 4;
-/// Grant over the corrected estimate, as engines choose by themselves.
-constexpr double grant_over_estimate = 1.25;
-/// Factor on grants where only memory in use counts: a grant too large costs nothing there.
-constexpr double unused_grant_factor = 2;
-/// Standard deviations over the memory bound that are allowed: few managers are at a small bound at once, but
-/// what fills memory stays long.
+/// Ratio of the grant to the corrected estimate; the same as the engines' default.
+constexpr double grant_to_estimate_ratio = 1.25;
+/// Factor on grants if engines overcommit memory. Only memory in use counts there, so a grant that is too
+/// large costs nothing.
+constexpr double overcommit_grant_factor = 2;
+/// Standard deviations by which the memory bound may be exceeded. Few managers reach a small bound at the
+/// same time, but requests that fill memory run long.
 constexpr double memory_deviations = 0.8;
-/// Least priority weight for each second of work, over the mean's, for the priorities 3, 2 and 1.
+/// Lowest priority weight per second of work for the priorities 3, 2 and 1, relative to the mean of all
+/// requests.
 constexpr double priority_3_density = 2;
 constexpr double priority_2_density = 0.7;
 constexpr double priority_1_density = 0.25;
@@ -36,7 +38,7 @@
 
 double ResourceGrants::granted_memory(const Request& request) const {
   const double bias = state_.settings.engines_honor_grants ? state_.class_of(request).memory_bias : 1.0;
-  return positive_or(request.estimated_memory, 0.0) * bias * grant_over_estimate;
+  return positive_or(request.estimated_memory, 0.0) * bias * grant_to_estimate_ratio;
 }
 
 bool ResourceGrants::has_memory_for(const Request& request) const {
@@ -49,13 +51,13 @@
 }
 
 double ResourceGrants::competing_threads(const Request& request) const {
-  const std::uint8_t own = priority_of(request);
+  const std::uint8_t own_priority = priority_of(request);
   double sum = 0;
   const int priorities = static_cast<int>(state_.threads_by_priority.size());
   for (int priority = 0; priority < priorities; ++priority) {
-    const bool is_lower = state_.settings.engines_honor_priorities && priority < own;
+    const bool is_lower = state_.settings.engines_honor_priorities && priority < own_priority;
     const double threads = state_.threads_by_priority[static_cast<std::size_t>(priority)];
-    sum += threads * (is_lower ? std::pow(priority_step_ratio, priority - own) : 1);
+    sum += threads * (is_lower ? std::pow(priority_step_ratio, priority - own_priority) : 1);
   }
   return sum;
 }
@@ -64,7 +66,7 @@
                                                           const Attempt& attempt) const {
   const Settings& settings = state_.settings;
   if (!settings.engines_honor_priorities && !settings.engines_honor_grants) return std::nullopt;
-  const double factor = settings.memory_shortage == MemoryShortage::overcommit ? unused_grant_factor : 1;
+  const double factor = settings.memory_shortage == MemoryShortage::overcommit ? overcommit_grant_factor : 1;
   const double memory = settings.engines_honor_grants ? attempt.granted_memory * factor : 0.0;
   return SetResourceGrant{request.id, attempt.priority, memory};
 }
--- a/src/decision/resource_grants.hpp
+++ b/src/decision/resource_grants.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Priorities and memory that requests are granted on engines, and what requests in flight weigh on another.
+/// Priorities and memory grants of requests, and how requests in flight compete with another request.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,24 @@
  public:
   ResourceGrants(const ManagerState& state, const CostModel& costs) : state_(state), costs_(costs) {}
 
-  /// Priority from 0 to 3: short work ahead of long, by priority weight for each second of work against the
-  /// mean of all that arrives. Requests over their quota or past their objective have the lowest.
+  /// Priority from 0 to 3, by priority weight per second of work relative to the mean of all requests, so
+  /// that short requests come before long ones. Requests over their quota or past their objective have
+  /// priority 0.
   [[nodiscard]] std::uint8_t priority_of(const Request& request) const;
 
-  /// Memory in MB that the engine will grant. Where grants are honoured, the estimate is corrected by what
-  /// answers showed.
+  /// Memory in MB that the engine will grant. If engines honor grants, the estimate is corrected by the
+  /// memory use that answers reported.
   [[nodiscard]] double granted_memory(const Request& request) const;
 
-  /// Whether this manager's part of the fleet's memory has capacity for the request. Only limits where a
-  /// shortage harms all that runs, and only requests that peers aren't notified of.
+  /// Whether the request fits this manager's share of the fleet's memory. Always true if engines queue
+  /// requests when memory runs short, and for requests that are announced to peers.
   [[nodiscard]] bool has_memory_for(const Request& request) const;
 
-  /// Threads in flight as they weigh on `request`: where engines share cores by priority, lower ones hardly
-  /// do.
+  /// Threads in flight that compete with `request`. If engines share cores by priority, threads of lower
+  /// priority count only in part.
   [[nodiscard]] double competing_threads(const Request& request) const;
 
-  /// The grant that goes with an attempt; none where engines honour neither priorities nor memory grants.
+  /// The grant for an attempt; none if engines honor neither priorities nor memory grants.
   [[nodiscard]] std::optional<SetResourceGrant> grant_for(const Request& request,
                                                           const Attempt& attempt) const;
 
--- a/src/decision/retry_budget.cpp
+++ b/src/decision/retry_budget.cpp
@@ -5,8 +5,8 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Retries are counted over a window longer by this, requests over one shorter by it: whoever checks the
-/// budget may place an event at the edge on either side. In seconds.
+/// Safety margin of the window, in seconds: retries are counted over a window longer by it and requests over
+/// one shorter by it, because another observer may place an event at the edge on either side.
 constexpr double window_edge = 0.01;
 
 }  // namespace
@@ -14,16 +14,16 @@
 void RetryBudget::record_arrival(double now) {
   arrivals_.add(now);
   const double budget_window = settings_.retry_budget ? to_seconds(settings_.retry_budget->window) : 0.0;
-  arrivals_.forget_before(now - (2 * arrival_window + budget_window));
+  arrivals_.erase_before(now - (2 * arrival_window + budget_window));
 }
 
 void RetryBudget::record_retry(double now) { retries_.add(now); }
 
-void RetryBudget::forget_old_retries(double now) {
+void RetryBudget::erase_old_retries(double now) {
   const double age = settings_.retry_budget
                          ? 2 * to_seconds(settings_.retry_budget->window + settings_.max_send_delay)
                          : 0.0;
-  retries_.forget_before(now - age);
+  retries_.erase_before(now - age);
 }
 
 bool RetryBudget::allows_retry(double now) const {
@@ -31,8 +31,8 @@
   const RetryBudgetSettings& budget = *settings_.retry_budget;
   const double window = to_seconds(budget.window);
   const double edge = window_edge + to_seconds(settings_.max_send_delay);
-  const double made = retries_.count_from(now - window - edge);
-  return made + 1 <= budget.floor + budget.share * arrivals_within(window - edge, now);
+  const double retries = retries_.count_from(now - window - edge);
+  return retries + 1 <= budget.floor + budget.share * arrivals_within(window - edge, now);
 }
 
 double RetryBudget::arrivals_within(double age, double now) const { return arrivals_.count_after(now - age); }
--- a/src/decision/send_rules.cpp
+++ b/src/decision/send_rules.cpp
@@ -14,7 +14,7 @@
   return !allowed || std::find(allowed->begin(), allowed->end(), value) != allowed->end();
 }
 
-/// Whether an engine at `target` drops a repeat of what ran at `first`.
+/// Whether the engine `target` recognizes the idempotency key of a request that ran on the engine `first`.
 bool shares_idempotency_scope(IdempotencyScope scope, const EngineEntry& first, const EngineEntry& target) {
   if (scope == IdempotencyScope::all) return true;
   if (first.zone != target.zone) return false;
@@ -24,7 +24,7 @@
 }  // namespace
 
 bool SendRules::may_send_now(const Request& request) const {
-  if (request.is_over || request.has_answer_begun || request.is_in_flight()) return false;
+  if (request.is_over || request.has_answer_started || request.is_in_flight()) return false;
   if (state_.now >= request.deadline - answer_margin(state_.settings)) return false;
   if (!request.attempts.empty() && request.attempts.size() >= state_.settings.max_attempts) return false;
   return has_turn(request) && is_within_retry_budget(request);
@@ -36,8 +36,8 @@
 }
 
 bool SendRules::may_retry(const Request& request) const {
-  if (request.has_answer_begun || request.attempts.size() >= state_.settings.max_attempts) return false;
-  if (admission_.is_past_saving(request) || !is_within_retry_budget(request)) return false;
+  if (request.has_answer_started || request.attempts.size() >= state_.settings.max_attempts) return false;
+  if (admission_.is_too_late(request) || !is_within_retry_budget(request)) return false;
   return std::any_of(state_.engines.begin(), state_.engines.end(), [&](const auto& entry) {
     return is_placement_allowed(request, entry.second) && is_repeat_safe(request, entry.second);
   });
@@ -69,8 +69,8 @@
          is_allowed(settings.allowed_kinds, engine.entry.kind);
 }
 
-/// A request that may have run is repeated only if it is idempotent, or has a key and goes where and while
-/// the engines drop repeats: otherwise its effect could happen twice.
+/// A request that may have run is retried only if it is idempotent, or has an idempotency key and the engine
+/// still recognizes that key. Otherwise its effect could happen twice.
 bool SendRules::is_repeat_safe(const Request& request, const Engine& engine) const {
   const ClassSettings& settings = state_.settings_of(request);
   if (settings.idempotency == Idempotency::idempotent) return true;
@@ -78,9 +78,9 @@
                                   [](const Attempt& attempt) { return attempt.may_have_run; });
   if (first == request.attempts.end()) return true;
   if (settings.idempotency == Idempotency::non_idempotent) return false;
-  const double remembered = to_seconds(settings.idempotency_window) -
-                            to_seconds(state_.settings.max_send_delay) - 2 * answer_margin(state_.settings);
-  if (state_.now > first->sent_at + remembered) return false;
+  const double retry_window = to_seconds(settings.idempotency_window) -
+                              to_seconds(state_.settings.max_send_delay) - 2 * answer_margin(state_.settings);
+  if (state_.now > first->sent_at + retry_window) return false;
   const EngineEntry& first_entry = state_.engines.at(first->engine).entry;
   return shares_idempotency_scope(settings.idempotency_scope, first_entry, engine.entry);
 }
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Slow start: an engine that has just started gets little work at first. All managers together must stay
-/// below what overloads such an engine, each without knowing what the others send.
+/// Slow start: an engine that has just started gets little work at first. All managers together must not
+/// overload such an engine, though none knows what the others send.
 #pragma once
 
 #include "decision/cost_model.hpp"
@@ -12,21 +12,20 @@
  public:
   SlowStart(ManagerState& state, const CostModel& costs) : state_(state), costs_(costs) {}
 
-  /// Whether this manager's part of the engine's budget has capacity for `request`. Always true for an engine
-  /// that is warm.
+  /// Whether `request` fits this manager's share of the engine's budget. Always true after the slow start.
   [[nodiscard]] bool allows(const Request& request, const Engine& engine) const;
-  /// Share of its capacity that the engine has, from 0.1 to 1.
+  /// Current capacity of the engine as a share of its full capacity, from 0.1 to 1.
   [[nodiscard]] double capacity_share(const Engine& engine) const;
 
-  /// Counts a request that goes to `engine` against its budget.
+  /// Counts a request that is sent to `engine` against its budget.
   void record_send(const Request& request, Engine& engine) const;
-  /// Drops the records of engines that are warm.
-  void forget_warm_engines();
+  /// Drops the recorded sends of engines whose slow start is over.
+  void erase_sends_to_warm_engines();
 
  private:
   [[nodiscard]] bool is_warming_up(const Engine& engine) const;
   [[nodiscard]] double budgeted_work(const Request& request) const;
-  [[nodiscard]] double budget_part(const Engine& engine, double budget_per_core) const;
+  [[nodiscard]] double manager_budget(const Engine& engine, double budget_per_core) const;
 
   ManagerState& state_;
   const CostModel& costs_;
--- a/src/decision/tenant_quota.cpp
+++ b/src/decision/tenant_quota.cpp
@@ -8,8 +8,8 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Requests that may come at once beyond a second of the rate. A small rate's few requests cluster by chance,
-/// so its bucket must hold some.
+/// Number of requests in a burst that the bucket allows beyond one second of the rate. At low rates, requests
+/// often arrive close together by chance.
 constexpr double burst_allowance = 3;
 
 }  // namespace
--- a/src/decision/tenant_quota.hpp
+++ b/src/decision/tenant_quota.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Quotas of tenants: a token bucket for each, with this manager's part of the tenant's rate.
+/// Tenant quotas: a token bucket per tenant, refilled at this manager's share of the tenant's rate.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace paddlestand::decision {
 
-/// Token buckets of all tenants. Refers to the settings, which must outlive it.
+/// Token buckets of all tenants. Holds a reference to the settings, which must outlive it.
 class TenantQuota {
  public:
   explicit TenantQuota(const Settings& settings);
--- a/src/decision/visit_fields.hpp
+++ b/src/decision/visit_fields.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Helpers for the visit functions of the module's state: one call for each field or container.
+/// Helpers for the visit functions of the module's state.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 /// Visits integers, booleans and enumerations in the order given.
 void visit_integers(StateVisitor& visitor, auto&... values) { (visit_integer(visitor, values), ...); }
 
-/// Visits an identifier, which a visitor may rename.
+/// Visits an identifier, which the visitor may replace.
 template <typename T>
 void visit_id(StateVisitor& visitor, StateVisitor::Name kind, T& id) {
   std::uint64_t raw = id;
@@ -43,7 +43,7 @@
   visitor.end();
 }
 
-/// Visits a map; `visit_entry` takes a copy of the key and the value, both by reference.
+/// Visits a map; `visit_entry` takes a reference to a copy of the key and a reference to the value.
 template <typename Map, typename VisitEntry>
 void visit_map(StateVisitor& visitor, Map& map, VisitEntry visit_entry) {
   const std::size_t count = visitor.table(map.size(), false);
--- a/src/decision/workload_manager.cpp
+++ b/src/decision/workload_manager.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The decision module's facade: joins the parts of this folder and handles the events of its interface.
+/// Facade of the decision module: owns the components of this folder and dispatches events to them.
 #include "paddlestand/workload_manager.hpp"
 
 #include <algorithm>
@@ -25,17 +25,18 @@
 namespace decision {
 namespace {
 
-/// Period with which overdue attempts, silent engines and requests past saving are looked for, in seconds.
-constexpr double watch_period = 0.05;
-/// Tolerance in comparing a deadline with the time of its timer, in seconds.
+/// Period of the checks for overdue attempts, silent engines and requests that are too late, in seconds.
+constexpr double check_period = 0.05;
+/// Tolerance when a deadline is compared with the time of its timer, in seconds.
 constexpr double timer_tolerance = 1e-6;
 
+/// Whether an attempt with this result certainly did not run.
 bool proves_not_run(AttemptResult result) {
   return result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
          result == AttemptResult::not_sent;
 }
 
-/// Whether an attempt that ended so may run on at its engine.
+/// Whether an attempt with this result may still run on its engine.
 bool may_still_run(AttemptResult result) {
   return result == AttemptResult::timed_out || result == AttemptResult::reset ||
          result == AttemptResult::cancelled;
@@ -49,7 +50,7 @@
 class WorkloadManager::Impl {
  public:
   explicit Impl(Settings settings) : state_(std::move(settings)) {}
-  /// Copies the state; the parts of the copy refer to the copy's state.
+  /// Copies the state; the components of the copy refer to the copy's state.
   Impl(const Impl& other) : state_(other.state_) {}
   Impl& operator=(const Impl&) = delete;
 
@@ -58,7 +59,7 @@
     if (!state_.schedule.is_started) start(now);
     state_.now = to_seconds(now - state_.schedule.origin);
     std::visit([this](const auto& typed_event) { on(typed_event); }, event);
-    send_held_requests();
+    send_queued_requests();
     gossip_.send_if_due();
   }
 
@@ -68,9 +69,9 @@
   void start(TimePoint now) {
     state_.schedule.is_started = true;
     state_.schedule.origin = now;
-    state_.schedule.next_period = control_period;
+    state_.schedule.next_control_period = control_period;
     if (state_.settings.endpoints_on_subscription) actions_.emit(SubscribeEndpoints{});
-    actions_.set_timer(watch_period);
+    actions_.set_timer(check_period);
   }
 
   void on(const EndpointsChanged& event) { endpoints_.apply(event); }
@@ -87,8 +88,8 @@
     admission_.record_arrival(request);
     if (request.ordering_key != 0) state_.ordering_keys.append(request.ordering_key, request.id);
     actions_.set_timer(request.deadline - answer_margin(state_.settings) - state_.now);
-    if (admission_.admits(request) && !admission_.is_past_saving(request)) {
-      lifecycle_.hold(request);
+    if (admission_.admits(request) && !admission_.is_too_late(request)) {
+      lifecycle_.enqueue(request);
     } else {
       lifecycle_.reject_or_fail(request);
     }
@@ -114,7 +115,7 @@
 
   void on(const AnswerStarted& event) {
     Request* request = state_.requests.find(event.request);
-    if (request != nullptr) request->has_answer_begun = true;
+    if (request != nullptr) request->has_answer_started = true;
   }
 
   void on(const AttemptEnded& event) {
@@ -133,10 +134,10 @@
       outliers_.record_outcome(*request, attempt, event.result);
     }
     if (request->ordering_key != 0 && may_still_run(event.result)) settle(request->ordering_key);
-    continue_or_close(*request, event);
+    retry_or_close(*request, event);
   }
 
-  /// Nothing else of the key may start while the ended attempt may still run.
+  /// Delays the next request of the key while the ended attempt may still run.
   void settle(std::uint64_t key) {
     const double settle_time = to_seconds(state_.settings.ordering_settle_time);
     const double margin =
@@ -144,15 +145,15 @@
     state_.ordering_keys.settle_until(key, state_.now + settle_time + margin);
   }
 
-  void continue_or_close(Request& request, const AttemptEnded& event) {
+  void retry_or_close(Request& request, const AttemptEnded& event) {
     if (event.request_over || event.result == AttemptResult::served) {
       lifecycle_.close(request);
     } else if (request.is_over) {
-      lifecycle_.forget_if_done(request.id);
+      lifecycle_.erase_if_done(request.id);
     } else if (request.is_in_flight()) {
       return;
     } else if (rules_.may_retry(request)) {
-      lifecycle_.hold(request);
+      lifecycle_.enqueue(request);
     } else {
       lifecycle_.reject_or_fail(request);
     }
@@ -166,20 +167,21 @@
   void on(const TimerFired&) {
     answer_at_deadline();
     Schedule& schedule = state_.schedule;
-    if (state_.now < schedule.next_watch) return;
-    schedule.next_watch =
-        state_.now + watch_period / 2;  // timers of deadlines fire too; none may skip a watch
-    actions_.set_timer(watch_period);
-    if (state_.now >= schedule.next_period) {
-      schedule.next_period = state_.now + control_period - watch_period / 2;
-      run_period();
+    if (state_.now < schedule.next_check) return;
+    // Timers of deadlines cause this event too. With half a period of tolerance, none of them makes a regular
+    // check be skipped.
+    schedule.next_check = state_.now + check_period / 2;
+    actions_.set_timer(check_period);
+    if (state_.now >= schedule.next_control_period) {
+      schedule.next_control_period = state_.now + control_period - check_period / 2;
+      run_control_period();
     }
     if (schedule.resubscribe_at > 0 && state_.now >= schedule.resubscribe_at &&
         state_.settings.endpoints_on_subscription) {
       schedule.resubscribe_at = 0;
       actions_.emit(SubscribeEndpoints{});
     }
-    watch();
+    run_checks();
   }
 
   void answer_at_deadline() {
@@ -190,32 +192,32 @@
     }
   }
 
-  void run_period() {
+  void run_control_period() {
     admission_.update_bounds();
-    state_.retry_budget.forget_old_retries(state_.now);
-    state_.ordering_keys.forget_settled(state_.now);
-    outliers_.forget_removed_engines();
-    slow_start_.forget_warm_engines();
+    state_.retry_budget.erase_old_retries(state_.now);
+    state_.ordering_keys.erase_settled(state_.now);
+    outliers_.erase_removed_engines();
+    slow_start_.erase_sends_to_warm_engines();
   }
 
-  void watch() {
+  void run_checks() {
     outliers_.count_overdue_attempts();
-    answer_past_saving();
+    answer_too_late_requests();
     outliers_.check_engines();
     gossip_.expire();
     timeouts_.cancel_overdue();
     balancer_.update_bounds();
   }
 
-  void answer_past_saving() {
-    std::vector<RequestId> past_saving;
+  void answer_too_late_requests() {
+    std::vector<RequestId> too_late;
     for (const ClassState& class_state : state_.classes) {
       for (const RequestId id : class_state.queue) {
-        if (admission_.is_past_saving(state_.requests.at(id))) past_saving.push_back(id);
+        if (admission_.is_too_late(state_.requests.at(id))) too_late.push_back(id);
       }
     }
-    std::sort(past_saving.begin(), past_saving.end());  // by number over all classes
-    for (const RequestId id : past_saving) lifecycle_.reject_or_fail(state_.requests.at(id));
+    std::sort(too_late.begin(), too_late.end());  // by id over all classes
+    for (const RequestId id : too_late) lifecycle_.reject_or_fail(state_.requests.at(id));
   }
 
   void on(const ProbeEnded& event) {
@@ -231,9 +233,9 @@
 
   void on(const ProgressReported& event) { timeouts_.record_progress(event); }
 
-  /// Held requests are sent in order of arrival within their class; the class with the highest priority
-  /// weight for its work comes first.
-  void send_held_requests() {
+  /// Sends queued requests in order of arrival within each class, starting with the class that has the
+  /// highest priority weight per second of work.
+  void send_queued_requests() {
     std::vector<std::size_t> waiting;
     for (std::size_t i = 0; i < state_.classes.size(); ++i) {
       if (!state_.classes[i].queue.empty()) waiting.push_back(i);
@@ -244,14 +246,14 @@
     };
     std::stable_sort(waiting.begin(), waiting.end(),
                      [&](std::size_t first, std::size_t second) { return density(first) > density(second); });
-    for (const std::size_t i : waiting) send_held_requests_of(i);
+    for (const std::size_t i : waiting) send_queued_requests_of(i);
   }
 
-  void send_held_requests_of(std::size_t class_index) {
+  void send_queued_requests_of(std::size_t class_index) {
     const std::vector<RequestId> queue = state_.classes[class_index].queue;
     for (const RequestId id : queue) {
       Request& request = state_.requests.at(id);
-      // Its key or the retry budget holds it back, not the engines: others may pass it.
+      // It waits for its ordering key or the retry budget, not for engines: later requests may overtake it.
       if (!rules_.has_turn(request) || !rules_.is_within_retry_budget(request)) continue;
       Engine* engine = balancer_.choose(request);
       if (engine == nullptr) return;
--- a/tests/decision/admission_controller_test.cpp
+++ b/tests/decision/admission_controller_test.cpp
@@ -89,9 +89,8 @@
   DecisionFixture fixture;
   fixture.add_engine(1);
 
-  EXPECT_FALSE(
-      fixture.admission.is_past_saving(fixture.add_request(1, 1, 8)));  // four seconds on two threads
-  EXPECT_TRUE(fixture.admission.is_past_saving(fixture.add_request(2, 1, 12)));
+  EXPECT_FALSE(fixture.admission.is_too_late(fixture.add_request(1, 1, 8)));  // four seconds on two threads
+  EXPECT_TRUE(fixture.admission.is_too_late(fixture.add_request(2, 1, 12)));
 }
 
 }  // namespace
@@ -103,7 +102,7 @@
 
 // A request that is past saving is answered at once, with advice when to retry.
 TEST(RetryAdvice, ARejectionIsImmediateAndCarriesAdvice) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.may_advise_retry = true;
   settings.max_retry_after = 2s;
   ManagerHarness harness(settings);
--- a/tests/decision/attempt_timeouts_test.cpp
+++ b/tests/decision/attempt_timeouts_test.cpp
@@ -45,7 +45,7 @@
 }
 
 TEST(AttemptTimeouts, NothingIsCancelledWhereThatIsNotAllowed) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.may_cancel = false;
   DecisionFixture fixture(settings);
   fixture.add_engine(1);
@@ -79,13 +79,13 @@
 namespace {
 
 Settings with_progress_reports() {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.progress_report_period = 500ms;
   return settings;
 }
 
 // Starts one heavy request alone, after some that showed how long such requests run.
-RequestId start_heavy(ManagerHarness& harness) {
+RequestId start_heavy_request(ManagerHarness& harness) {
   harness.fleet({engine(1), engine(2)});
   for (RequestId id = 1; id <= 10; ++id) {
     harness.request(id, 1, 1s, 0, 15s);
@@ -98,7 +98,7 @@
 // Guards against cancelling what is only long: its work would be lost and done again.
 TEST(ProgressReports, AnAttemptThatProgressesIsNotCancelledForItsAge) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   for (int i = 1; i <= 6; ++i) {
     harness.advance(500ms);
     harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.15 * i});
@@ -109,7 +109,7 @@
 // Guards against a bad plan: little is done, and what remains would take longer than a new run.
 TEST(ProgressReports, AnAttemptWithABadPlanIsCancelledAtItsFirstReports) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   harness.advance(500ms);
   harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.02});
   harness.advance(200ms);
@@ -120,7 +120,7 @@
 // others.
 TEST(ProgressReports, AnAttemptWithoutFurtherReportsIsCancelled) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   harness.advance(400ms);
   harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.9});
   harness.advance(700ms);
@@ -131,7 +131,7 @@
 
 TEST(ProgressReports, InvalidReportsAndReportsOfUnknownAttemptsAreIgnored) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   harness.handle(ProgressReported{id, 7, ProgressKind::progress, 0.5});
   harness.handle(ProgressReported{999, 0, ProgressKind::progress, 0.5});
   harness.handle(ProgressReported{id, 0, ProgressKind::progress, -1});
--- a/tests/decision/decision_fixture.hpp
+++ b/tests/decision/decision_fixture.hpp
@@ -23,7 +23,7 @@
 namespace paddlestand::decision {
 
 struct DecisionFixture {
-  explicit DecisionFixture(Settings settings = test::small_site()) : state(std::move(settings)) {
+  explicit DecisionFixture(Settings settings = test::small_deployment()) : state(std::move(settings)) {
     sink.write_to(actions);
   }
 
--- a/tests/decision/fleet_size_test.cpp
+++ b/tests/decision/fleet_size_test.cpp
@@ -8,8 +8,8 @@
 namespace paddlestand::test {
 namespace {
 
-Settings one_of(std::uint32_t instances, std::uint32_t instance_index) {
-  Settings settings = small_site();
+Settings settings_of_manager(std::uint32_t instances, std::uint32_t instance_index) {
+  Settings settings = small_deployment();
   settings.instances = instances;
   settings.instance_index = instance_index;
   settings.seed = 1000 + instance_index;
@@ -26,7 +26,7 @@
 TEST(FleetSize, FirstSendsOfManyManagersSpreadOverTheFleet) {
   std::map<EngineId, int> first;
   for (std::uint32_t instance_index = 0; instance_index < 200; ++instance_index) {
-    ManagerHarness harness(one_of(200, instance_index));
+    ManagerHarness harness(settings_of_manager(200, instance_index));
     harness.fleet(engines(20));
     harness.request(1);
     ++first[harness.engine_of(1)];
@@ -40,7 +40,7 @@
   for (const std::uint32_t instances : {1U, 2U, 3U, 5U, 30U, 47U, 200U, 270U, 300U}) {
     double sent = 0;
     for (std::uint32_t instance_index = 0; instance_index < instances; ++instance_index) {
-      ManagerHarness harness(one_of(instances, instance_index));
+      ManagerHarness harness(settings_of_manager(instances, instance_index));
       harness.fleet({engine(1)});
       for (RequestId id = 1; id <= 20; ++id) {
         harness.request(id);
@@ -67,12 +67,12 @@
     int at_first = 0;
     int later = 0;
     for (std::uint32_t instance_index = 0; instance_index < instances; ++instance_index) {
-      ManagerHarness harness(one_of(instances, instance_index));
+      ManagerHarness harness(settings_of_manager(instances, instance_index));
       harness.fleet({engine(2, EngineState::ready, harness.now())});
       for (RequestId id = 1; id <= 3; ++id) harness.request(id);
-      harness.advance(one_of(instances, instance_index).overload_window / 2);
+      harness.advance(settings_of_manager(instances, instance_index).overload_window / 2);
       at_first += harness.sends_to(2);
-      harness.advance(one_of(instances, instance_index).overload_window);
+      harness.advance(settings_of_manager(instances, instance_index).overload_window);
       harness.request(9);
       later += harness.sends_to(2);
     }
@@ -82,7 +82,7 @@
 }
 
 TEST(FleetSize, AnIndexBeyondTheInstancesHasNoPartOfASlowStartBudget) {
-  ManagerHarness harness(one_of(5, 9));
+  ManagerHarness harness(settings_of_manager(5, 9));
   harness.fleet({engine(1)});
   harness.advance(5s);
   harness.fleet({engine(1, EngineState::removed), engine(2, EngineState::ready, harness.now())},
@@ -94,7 +94,7 @@
 // Guards against an engine that fails fast where each engine is used seldom: one failure there must weigh
 // more than one of many.
 TEST(FleetSize, OneFailureIsEnoughWhereAnEngineIsSeldomUsed) {
-  ManagerHarness harness(one_of(200, 3));
+  ManagerHarness harness(settings_of_manager(200, 3));
   harness.fleet(engines(10));
   harness.request(1);
   const EngineId bad = harness.engine_of(1);
@@ -111,7 +111,7 @@
 // Guards against a bound without effect: where a request is always alone in its class, latency must still
 // count.
 TEST(FleetSize, ARequestAloneInItsClassIsRejectedWhileLatencyIsOverTheObjective) {
-  ManagerHarness harness(one_of(200, 3));
+  ManagerHarness harness(settings_of_manager(200, 3));
   harness.fleet(engines(10));
   RequestId id = 1;
   for (; id <= 20; ++id) {
@@ -133,7 +133,7 @@
 
 // An engine that recovers from ejection gets its full part again: only the endpoint list announces a start.
 TEST(FleetSize, AnEngineThatRecoversFromEjectionHasNoSlowStart) {
-  ManagerHarness harness(one_of(1, 0));
+  ManagerHarness harness(settings_of_manager(1, 0));
   harness.fleet(engines(1));
   RequestId id = 1;
   for (; id <= 30; ++id) {
@@ -143,7 +143,7 @@
   harness.request(id);
   for (int i = 0; i < 3; ++i) harness.end(id, AttemptResult::connect_failed);
   ++id;
-  ASSERT_TRUE(harness.logged("engine 1 ejected: not reached"));
+  ASSERT_TRUE(harness.logged("engine 1 ejected: unreachable"));
   harness.advance(3s);
   harness.handle(ProbeEnded{1, AttemptResult::served, 1ms, {}});
   for (const RequestId last = id + 20; id < last; ++id) {
@@ -159,7 +159,7 @@
 
 TEST(FleetSize, EveryRequestIsAnsweredOnceAtAnyNumberOfInstances) {
   for (const std::uint32_t instances : {0U, 1U, 5U, 200U, 4000000000U}) {
-    ManagerHarness harness(one_of(instances, 0));
+    ManagerHarness harness(settings_of_manager(instances, 0));
     harness.fleet(engines(6));
     int unanswered = 0;
     for (RequestId id = 1; id <= 100; ++id) {
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -27,7 +27,7 @@
 }
 
 TEST(LoadBalancer, AnEngineOnProbationGetsOneIdempotentRequestAtATime) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.classes[1].idempotency = Idempotency::non_idempotent;
   DecisionFixture fixture(settings);
   Engine& engine = fixture.add_engine(1);
@@ -75,7 +75,7 @@
 
 // Crossing zones is expensive for a light request: it stays while engines of both zones report alike.
 TEST(ZoneRouting, RequestsStayInTheirZoneUntilItIsOverloaded) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.cross_zone_price = 0.04;
   ManagerHarness harness(settings);
   EngineEntry other_zone = engine(2);
--- a/tests/decision/manager_harness.hpp
+++ b/tests/decision/manager_harness.hpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 // Two classes, one kind of engine, one manager.
-inline Settings small_site() {
+inline Settings small_deployment() {
   Settings settings;
   settings.instances = 1;
   settings.clock_step = 5ms;
--- a/tests/decision/manager_state_test.cpp
+++ b/tests/decision/manager_state_test.cpp
@@ -57,7 +57,7 @@
 }
 
 Settings with_all_parts() {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.instances = 3;
   settings.may_gossip = true;
   settings.tenants = {{"tenant", 5}};
@@ -78,7 +78,7 @@
   held.ordering_key = 7;
   state.ordering_keys.append(7, 1);
   state.ordering_keys.settle_until(7, 12);
-  fixture.lifecycle.hold(held);
+  fixture.lifecycle.enqueue(held);
   fixture.lifecycle.start_attempt(fixture.add_request(2), engine);
   state.retry_budget.record_arrival(9);
   state.retry_budget.record_retry(9);
@@ -114,7 +114,7 @@
 }
 
 TEST(ManagerState, ThreadsOfAClassAreUsableWhateverTheSettingsSay) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.classes[0].threads = 0;
 
   const ManagerState state(settings);
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -38,7 +38,7 @@
   fail_once(fixture, 4, 1);
 
   EXPECT_EQ(engine.health, Health::ejected);
-  EXPECT_EQ(fixture.emitted<Log>().at(0).text, "engine 1 ejected: not reached");
+  EXPECT_EQ(fixture.emitted<Log>().at(0).text, "engine 1 ejected: unreachable");
 }
 
 /// An engine with a good record and so many attempts in flight, as the lifecycle counts them.
@@ -183,7 +183,7 @@
   Engine& engine = fixture.add_engine(1);
   engine.failure_rate = 1;
   engine.last_outcome_at = 0;
-  fixture.state.usual_failure_rate = 0.1;
+  fixture.state.mean_failure_rate = 0.1;
   EXPECT_DOUBLE_EQ(fixture.outliers.failure_score(engine), 1);
 
   fixture.state.now = 100;
@@ -196,7 +196,7 @@
   fixture.add_engine(2, EngineState::removed);
   add_attempt(fixture, 1, 2);
 
-  fixture.outliers.forget_removed_engines();
+  fixture.outliers.erase_removed_engines();
 
   EXPECT_FALSE(fixture.state.engines.contains(1));
   EXPECT_TRUE(fixture.state.engines.contains(2));
--- a/tests/decision/peer_gossip_test.cpp
+++ b/tests/decision/peer_gossip_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Settings with_peers() {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.instances = 3;
   settings.may_gossip = true;
   settings.memory_shortage = MemoryShortage::overcommit;
@@ -58,9 +58,9 @@
 
   const auto messages = fixture.emitted<SendGossip>();
   ASSERT_EQ(messages.size(), 1U);
-  ASSERT_EQ(messages[0].out.size(), 1U);
-  EXPECT_EQ(messages[0].out[0].engine, 1U);
-  EXPECT_DOUBLE_EQ(messages[0].out[0].memory_share, 0.0625);
+  ASSERT_EQ(messages[0].entries.size(), 1U);
+  EXPECT_EQ(messages[0].entries[0].engine, 1U);
+  EXPECT_DOUBLE_EQ(messages[0].entries[0].memory_share, 0.0625);
   EXPECT_EQ(fixture.state.unannounced_memory, 0);
 }
 
@@ -72,7 +72,7 @@
 namespace {
 
 Settings with_gossip() {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.instances = 10;
   settings.engines_honor_grants = true;
   settings.memory_shortage = MemoryShortage::overcommit;
--- a/tests/decision/random_traffic_test.cpp
+++ b/tests/decision/random_traffic_test.cpp
@@ -20,8 +20,8 @@
   return std::count(values.begin(), values.end(), true) > 0;
 }
 
-Settings random_site() {
-  Settings settings = small_site();
+Settings random_deployment() {
+  Settings settings = small_deployment();
   settings.instances = 2;
   settings.retry_budget = RetryBudgetSettings{3, 0.2, 2s};
   settings.ordering_settle_time = 100ms;
@@ -83,7 +83,7 @@
     event.attempt = static_cast<std::uint32_t>(attempt);
     event.result = static_cast<AttemptResult>(draw(10) < 5 ? 0 : draw(8));
     event.elapsed = 50ms;
-    track_end(request, attempt, event.result);
+    record_end(request, attempt, event.result);
     event.request_over = request.is_over;
     harness_.handle(event);
   }
@@ -104,12 +104,12 @@
     }
   }
 
-  ManagerHarness harness_{random_site()};
+  ManagerHarness harness_{random_deployment()};
   std::map<RequestId, TrackedRequest> requests_;
   std::vector<TimePoint> retries_;
 
  private:
-  void track_end(TrackedRequest& request, std::size_t attempt, AttemptResult result) {
+  void record_end(TrackedRequest& request, std::size_t attempt, AttemptResult result) {
     request.in_flight[attempt] = false;
     request.may_have_run[attempt] = result != AttemptResult::rejected &&
                                     result != AttemptResult::connect_failed &&
@@ -179,7 +179,7 @@
   }
 
   std::mt19937 random_{GetParam()};
-  const Settings settings_ = random_site();
+  const Settings settings_ = random_deployment();
   RequestId next_id_ = 1;
   std::vector<TimePoint> arrivals_;
   std::map<EngineId, EngineState> engine_states_;
--- a/tests/decision/recent_times_test.cpp
+++ b/tests/decision/recent_times_test.cpp
@@ -20,7 +20,7 @@
   times.add(1);
   times.add(2);
 
-  times.forget_before(2);
+  times.erase_before(2);
 
   EXPECT_EQ(times.size(), 1U);
 }
--- a/tests/decision/request_lifecycle_test.cpp
+++ b/tests/decision/request_lifecycle_test.cpp
@@ -13,8 +13,8 @@
   fixture.state.now = 1;
   Request& late = fixture.add_request(1);
 
-  fixture.lifecycle.hold(late);
-  fixture.lifecycle.hold(early);
+  fixture.lifecycle.enqueue(late);
+  fixture.lifecycle.enqueue(early);
 
   EXPECT_EQ(fixture.state.classes[0].queue, (std::vector<RequestId>{2, 1}));
   EXPECT_DOUBLE_EQ(fixture.state.classes[0].queued_cost, 0.2);
@@ -24,10 +24,10 @@
   DecisionFixture fixture;
   Engine& engine = fixture.add_engine(1);
   Request& request = fixture.add_request(1);
-  fixture.lifecycle.hold(request);
+  fixture.lifecycle.enqueue(request);
 
   fixture.lifecycle.start_attempt(request, engine);
-  EXPECT_FALSE(request.is_held);
+  EXPECT_FALSE(request.is_queued);
   EXPECT_EQ(engine.queries, 1);
   EXPECT_EQ(engine.threads, 1);
   EXPECT_DOUBLE_EQ(fixture.state.classes[0].running_cost, 0.1);
--- a/tests/decision/resource_grants_test.cpp
+++ b/tests/decision/resource_grants_test.cpp
@@ -33,7 +33,7 @@
 }
 
 TEST(ResourceGrants, ThreadsOfLowerPriorityHardlyCompeteWhereEnginesHonourPriorities) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.engines_honor_priorities = true;
   DecisionFixture fixture(settings);
   Request& request = fixture.add_request(1);
@@ -47,7 +47,7 @@
 }
 
 TEST(ResourceGrants, AGrantIsMadeOnlyWhereEnginesHonourIt) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.engines_honor_grants = true;
   DecisionFixture fixture(settings);
   DecisionFixture without_grants;
@@ -62,7 +62,7 @@
 }
 
 TEST(ResourceGrants, UnannouncedMemoryIsBoundedWhereAShortageHarmsAll) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.memory_shortage = MemoryShortage::overcommit;
   DecisionFixture fixture(settings);
   Request& request = fixture.add_request(1);
@@ -83,7 +83,7 @@
 namespace {
 
 Settings with_memory_shortage(MemoryShortage shortage) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.instances = 10;
   settings.engines_honor_grants = true;
   settings.memory_shortage = shortage;
--- a/tests/decision/retry_budget_test.cpp
+++ b/tests/decision/retry_budget_test.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 Settings with_budget(double floor, double share) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.retry_budget = RetryBudgetSettings{floor, share, std::chrono::seconds(2)};
   return settings;
 }
 
 TEST(RetryBudget, WithoutABudgetEveryRetryIsAllowed) {
-  const Settings settings = test::small_site();
+  const Settings settings = test::small_deployment();
   RetryBudget budget(settings);
 
   for (int i = 0; i < 100; ++i) budget.record_retry(1);
--- a/tests/decision/rules_test.cpp
+++ b/tests/decision/rules_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(DeadlineRule, AHeldOrSentRequestIsAnsweredOnceBeforeItsDeadline) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1)});
   harness.request(1, 0, 100ms, 0, 700ms);
   EXPECT_EQ(harness.sends(1), 1);
@@ -22,7 +22,7 @@
 }
 
 TEST(IdempotencyRule, NonIdempotentWorkThatMayHaveRunFailsAndIsNeitherRetriedNorRejected) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   for (const AttemptResult result : {AttemptResult::engine_error, AttemptResult::reset,
                                      AttemptResult::timed_out, AttemptResult::cancelled}) {
@@ -37,7 +37,7 @@
 }
 
 TEST(IdempotencyRule, NonIdempotentWorkThatDidNotRunIsRetried) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2)});
@@ -47,7 +47,7 @@
 }
 
 TEST(IdempotencyRule, WorkWithAKeyIsRetriedOnlyInItsScope) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_scope = IdempotencyScope::cell;
   settings.classes[0].idempotency_window = 5s;
@@ -65,7 +65,7 @@
 }
 
 TEST(IdempotencyRule, WorkWithAKeyIsNotRetriedAfterItsWindow) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_window = 1s;
   settings.classes[0].latency_objective = 10s;
@@ -80,7 +80,7 @@
 }
 
 TEST(DrainRule, NothingIsSentToADrainingOrMissingEngine) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   harness.fleet({engine(1, EngineState::draining)}, EndpointUpdate::delta);
   harness.fleet({engine(1, EngineState::draining), engine(2)}, EndpointUpdate::full);
@@ -91,7 +91,7 @@
 }
 
 TEST(SlowStartRule, AnEngineInSlowStartGetsAtMostThisInstancesPart) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.instances = 2;
   ManagerHarness harness(settings);
   harness.fleet({engine(1)});
@@ -112,7 +112,7 @@
 }
 
 TEST(OrderingRule, RequestsOfOneKeyRunOneAtATimeInOrder) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.classes[0].ordered_by_key = true;
   settings.ordering_settle_time = 500ms;
   ManagerHarness harness(settings);
@@ -128,7 +128,7 @@
 }
 
 TEST(OrderingRule, AKeySettlesAfterAnAttemptThatMayStillRun) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.classes[0].ordered_by_key = true;
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   settings.ordering_settle_time = 500ms;
@@ -145,7 +145,7 @@
 }
 
 TEST(PlacementRule, AClassIsSentOnlyToItsAllowedKindsAndZones) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.kinds.push_back({8, 16384});
   settings.classes[0].allowed_kinds = {1};
   ManagerHarness harness(settings);
@@ -162,7 +162,7 @@
 }
 
 TEST(RetryBudgetRule, RetriesStayWithinTheBudget) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.retry_budget = RetryBudgetSettings{3, 0.1, 5s};
   ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2), engine(3)});
@@ -182,7 +182,7 @@
 }
 
 TEST(AttemptLimitRule, ARequestHasAtMostTheAllowedAttempts) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3), engine(4), engine(5)});
   harness.request(1);
   for (int i = 0; i < 3; ++i) harness.end(1, AttemptResult::rejected);
--- a/tests/decision/send_rules_test.cpp
+++ b/tests/decision/send_rules_test.cpp
@@ -41,12 +41,12 @@
   EXPECT_FALSE(may_send(fixture, request, engine));
 
   request.attempts[0].in_flight = false;
-  request.has_answer_begun = true;
+  request.has_answer_started = true;
   EXPECT_FALSE(may_send(fixture, request, engine));
 }
 
 TEST(SendRules, NonIdempotentWorkThatMayHaveRunIsNeitherRepeatedNorRejected) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   DecisionFixture fixture(settings);
   const Engine& engine = fixture.add_engine(1);
@@ -62,7 +62,7 @@
 }
 
 TEST(SendRules, WorkWithAnIdempotencyKeyIsRepeatedOnlyWhereAndWhileRepeatsAreDropped) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_scope = IdempotencyScope::cell;
   settings.classes[0].idempotency_window = 2s;
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -51,7 +51,7 @@
   ASSERT_EQ(engine.slow_start_sends.size(), 1U);
 
   fixture.state.now = 20;
-  fixture.slow_start.forget_warm_engines();
+  fixture.slow_start.erase_sends_to_warm_engines();
 
   EXPECT_TRUE(engine.slow_start_sends.empty());
 }
--- a/tests/decision/tenant_quota_test.cpp
+++ b/tests/decision/tenant_quota_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Settings with_tenant(double quota_per_s, std::uint32_t instances) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.instances = instances;
   settings.tenants = {{"tenant", quota_per_s}};
   return settings;
--- a/tests/decision/workload_manager_test.cpp
+++ b/tests/decision/workload_manager_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(LoadBalancing, RequestsSpreadOverTheEngines) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1; id <= 6; ++id) harness.request(id);
   EXPECT_EQ(harness.sends_to(1), 2);
@@ -16,7 +16,7 @@
 }
 
 TEST(LoadBalancing, WithNoEngineARequestIsHeldAndAnsweredInTime) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({});
   harness.request(1, 0, 100ms, 0, 2s);
   EXPECT_EQ(harness.count<Reject>(1), 0);
@@ -26,7 +26,7 @@
 }
 
 TEST(LoadBalancing, AHeldRequestIsSentWhenAnEngineBecomesReady) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({});
   harness.request(1);
   harness.advance(100ms);
@@ -35,7 +35,7 @@
 }
 
 TEST(AdmissionBound, UnderPressureHeavyRequestsAreRejectedBeforeLightOnes) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1)});
   for (RequestId id = 1; id <= 40; ++id) harness.request(id, 1, 1s, 0, 15s);
   int light = 0;
@@ -53,7 +53,7 @@
 // Guards against one key with many requests: its queue filled the class's bound, and requests of free keys
 // were rejected while the engines were idle.
 TEST(AdmissionBound, AQueueBehindOneKeyDoesNotRejectOtherKeys) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.classes[1].ordered_by_key = true;
   ManagerHarness harness(settings);
   harness.fleet({engine(1), engine(2), engine(3), engine(4)});
@@ -75,7 +75,7 @@
 // Guards against clients that ask for what no engine knows: each such request fails at three engines within a
 // millisecond, and healthy engines were ejected for it.
 TEST(OutlierDetection, ARequestThatFailsAtEveryEngineCountsAgainstNone) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3), engine(4)});
   for (RequestId id = 1; id <= 12; ++id) {
     harness.request(100 + id);
@@ -91,7 +91,7 @@
 
 // A request that another engine serves is not at fault: its failure counts against the first engine.
 TEST(OutlierDetection, AnEngineThatFailsWhatOthersServeIsEjected) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1; id <= 40 && !harness.logged("ejected"); ++id) {
     harness.request(id, 0, 100ms, 0, 5s);
@@ -101,11 +101,11 @@
     if (harness.engine_of(id) != 2) harness.end(id, AttemptResult::served);
     harness.advance(100ms);
   }
-  EXPECT_TRUE(harness.logged("engine 2 ejected: failing fast"));
+  EXPECT_TRUE(harness.logged("engine 2 ejected: query errors"));
 }
 
 TEST(AdmissionBound, HeldRequestsAreSentInOrderOfArrival) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1)});
   RequestId last = 40;
   for (RequestId id = 1; id <= last; ++id) harness.request(id, 0, 100ms);
@@ -118,7 +118,7 @@
 }
 
 TEST(AdmissionBound, AnIdleClassIsNotClosedByASmallBound) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2)});
   harness.request(1, 1, 100ms, 0, 15s);
   harness.end(1, AttemptResult::served);
@@ -129,7 +129,7 @@
 
 // Guards against a bound that closes completely: light requests must be admitted where heavy ones are not.
 TEST(AdmissionBound, UnderLastingPressureLightRequestsAreStillAdmitted) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1)});
   RequestId id = 1;
   for (; id <= 10; ++id) {
@@ -153,7 +153,7 @@
 
 // Guards against the black hole: an engine that fails fast looks least loaded.
 TEST(OutlierDetection, AnEngineThatFailsFastIsAvoidedAndRetriedLater) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1000; id < 1060; ++id) {
     harness.request(id);
@@ -191,7 +191,7 @@
 // Two errors in a row eject an engine; those of the process that ran there before it restarted do not.
 TEST(OutlierDetection, FailuresOfAnEarlierProcessDoNotEjectItsSuccessor) {
   for (const bool restarted : {false, true}) {
-    ManagerHarness harness(small_site());
+    ManagerHarness harness(small_deployment());
     harness.fleet({engine(1), engine(2)});
     const std::vector<RequestId> at_first = request_until_three_are_at(harness, 1);
     if (restarted) harness.fleet({engine(1, EngineState::ready, harness.now())}, EndpointUpdate::delta);
@@ -202,7 +202,7 @@
 
 // Removed and ready again without a start time: a new process, too.
 TEST(OutlierDetection, AnEngineThatWasRemovedIsANewProcessWhenItReturns) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2)});
   const std::vector<RequestId> at_first = request_until_three_are_at(harness, 1);
   harness.fleet({engine(1, EngineState::removed)}, EndpointUpdate::delta);
@@ -214,7 +214,7 @@
 // Guards against an engine that accepts work and answers nothing: its work is cancelled and retried
 // elsewhere.
 TEST(OutlierDetection, WorkOnASilentEngineIsRetriedElsewhere) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   RequestId id = 1;
   for (; id <= 30; ++id) {
@@ -236,7 +236,7 @@
 }
 
 TEST(Retries, AnAttemptThatDidNotRunIsRetriedElsewhereAtOnce) {
-  ManagerHarness harness(small_site());
+  ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2)});
   harness.request(1);
   const EngineId first = harness.engine_of(1);
@@ -247,7 +247,7 @@
 
 TEST(Determinism, TheSameEventsGiveTheSameActionsBesideAnotherInstance) {
   const auto play = [](ManagerHarness* other) {
-    ManagerHarness harness(small_site());
+    ManagerHarness harness(small_deployment());
     harness.fleet({engine(1), engine(2)});
     for (RequestId id = 1; id < 80; ++id) {
       harness.request(id, id % 2, std::chrono::milliseconds(20 * id), 0, 5s);
@@ -263,7 +263,7 @@
     }
     return kinds;
   };
-  ManagerHarness other(small_site());
+  ManagerHarness other(small_deployment());
   other.fleet({engine(1)});
   const auto alone = play(nullptr);
   EXPECT_GT(alone.size(), 80U);
@@ -272,7 +272,7 @@
 
 TEST(BadInput, AbsurdSettingsStillAnswerOnceAndInTime) {
   for (int variant = 0; variant < 5; ++variant) {
-    Settings settings = small_site();
+    Settings settings = small_deployment();
     if (variant == 0) settings = Settings{};
     if (variant == 1) settings.kinds = {{0, 0}};
     if (variant == 2) settings.classes[0].threads = 0;
