--- a/tests/decision/admission_controller_test.cpp
+++ b/tests/decision/admission_controller_test.cpp
@@ -57,7 +57,7 @@
   EXPECT_EQ(class_state.answers, 0) << "the next period starts from zero";
 }
 
-TEST(AdmissionController, TheBoundNeverClosesCompletely) {
+TEST(AdmissionController, TheBoundIsNeverZero) {
   DecisionFixture fixture;
   fixture.add_engine(1);
   ClassState& class_state = fixture.state.classes[0];
@@ -85,7 +85,7 @@
   EXPECT_DOUBLE_EQ(fixture.state.classes[0].running_cost, 0.1);
 }
 
-TEST(AdmissionController, ARequestThatCannotBeDoneByItsDeadlineIsPastSaving) {
+TEST(AdmissionController, ARequestThatCannotFinishByItsDeadlineIsTooLate) {
   DecisionFixture fixture;
   fixture.add_engine(1);
 
@@ -96,18 +96,18 @@
 }  // namespace
 }  // namespace paddlestand::decision
 
-// Checked on the whole manager.
+// Tests of the complete manager.
 namespace paddlestand::test {
 namespace {
 
-// A request that is past saving is answered at once, with advice when to retry.
+// A request that is too late is answered at once, with advice on when to retry.
 TEST(RetryAdvice, ARejectionIsImmediateAndCarriesAdvice) {
   Settings settings = small_deployment();
   settings.may_advise_retry = true;
   settings.max_retry_after = 2s;
   ManagerHarness harness(settings);
   harness.fleet({engine(1)});
-  harness.request(1, 0, 4s, 0, 1s);  // it can't be done before its deadline
+  harness.request(1, 0, 4s, 0, 1s);  // it can't finish before its deadline
   ASSERT_EQ(harness.count<Reject>(1), 1);
   for (const auto& [at, action] : harness.log()) {
     const auto* reject = std::get_if<Reject>(&action);
--- a/tests/decision/attempt_timeouts_test.cpp
+++ b/tests/decision/attempt_timeouts_test.cpp
@@ -44,7 +44,7 @@
   EXPECT_EQ(fixture.emitted<Cancel>().size(), 3U);
 }
 
-TEST(AttemptTimeouts, NothingIsCancelledWhereThatIsNotAllowed) {
+TEST(AttemptTimeouts, NothingIsCancelledIfCancellationIsNotAllowed) {
   Settings settings = test::small_deployment();
   settings.may_cancel = false;
   DecisionFixture fixture(settings);
@@ -74,7 +74,7 @@
 }  // namespace
 }  // namespace paddlestand::decision
 
-// Checked on the whole manager.
+// Tests of the complete manager.
 namespace paddlestand::test {
 namespace {
 
@@ -84,7 +84,7 @@
   return settings;
 }
 
-// Starts one heavy request alone, after some that showed how long such requests run.
+// Starts one heavy request alone, after several others from which the manager learns how long they run.
 RequestId start_heavy_request(ManagerHarness& harness) {
   harness.fleet({engine(1), engine(2)});
   for (RequestId id = 1; id <= 10; ++id) {
@@ -95,8 +95,8 @@
   return 50;
 }
 
-// Guards against cancelling what is only long: its work would be lost and done again.
-TEST(ProgressReports, AnAttemptThatProgressesIsNotCancelledForItsAge) {
+// Guards against cancelling a request that is only long: its work would be lost and repeated.
+TEST(ProgressReports, AnAttemptThatProgressesIsNotCancelledBecauseOfItsAge) {
   ManagerHarness harness(with_progress_reports());
   const RequestId id = start_heavy_request(harness);
   for (int i = 1; i <= 6; ++i) {
@@ -106,8 +106,8 @@
   EXPECT_EQ(harness.count<Cancel>(id), 0);
 }
 
-// Guards against a bad plan: little is done, and what remains would take longer than a new run.
-TEST(ProgressReports, AnAttemptWithABadPlanIsCancelledAtItsFirstReports) {
+// Guards against waiting for a bad plan: little is done, and the remainder would take longer than a new run.
+TEST(ProgressReports, AnAttemptWithABadPlanIsCancelledAfterItsFirstReports) {
   ManagerHarness harness(with_progress_reports());
   const RequestId id = start_heavy_request(harness);
   harness.advance(500ms);
@@ -116,8 +116,8 @@
   EXPECT_EQ(harness.count<Cancel>(id), 1);
 }
 
-// Guards against lost answers: reports of an attempt that has ended stop, whatever its engine answers to
-// others.
+// Guards against lost answers: the reports of an ended attempt stop, even if its engine answers other
+// requests.
 TEST(ProgressReports, AnAttemptWithoutFurtherReportsIsCancelled) {
   ManagerHarness harness(with_progress_reports());
   const RequestId id = start_heavy_request(harness);
--- a/tests/decision/cost_model_test.cpp
+++ b/tests/decision/cost_model_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_NEAR(fixture.costs.cost_of(request), 0.3, 0.01);
 }
 
-TEST(CostModel, RunTimesStandForWorkOnlyWhereCoresWereFree) {
+TEST(CostModel, WorkIsInferredFromTheRunTimeOnlyIfTheEngineHadSpareCores) {
   DecisionFixture fixture;
   const Request& request = fixture.add_request(1, 0, 0.1);
   Attempt attempt;
@@ -49,7 +49,7 @@
   EXPECT_DOUBLE_EQ(fixture.costs.latency_objective_of(request), 3 + 2 * 1.0 / 2);
 }
 
-TEST(CostModel, TheWeightOfAClassIsRelativeToTheMeanRequest) {
+TEST(CostModel, TheRelativeWeightOfAClassRefersToTheMeanRequest) {
   DecisionFixture fixture;
   fixture.costs.record_arrival(fixture.add_request(1, 0));
   fixture.costs.record_arrival(fixture.add_request(2, 1));
@@ -58,7 +58,7 @@
   EXPECT_DOUBLE_EQ(fixture.costs.relative_weight(1), 6 / 3.5);
 }
 
-TEST(CostModel, ARequestWithoutAnEstimateCostsItsClassesMean) {
+TEST(CostModel, ARequestWithoutAnEstimateHasTheMeanCostOfItsClass) {
   DecisionFixture fixture;
   fixture.costs.record_arrival(fixture.add_request(1, 0, 0.4));
   Request& request = fixture.add_request(2, 0);
--- a/tests/decision/decision_fixture.hpp
+++ b/tests/decision/decision_fixture.hpp
@@ -1,4 +1,4 @@
-// The parts of the decision module on a state that a test fills in.
+// Connects the components of the decision module to a state that a test sets up.
 #pragma once
 
 #include <utility>
@@ -27,7 +27,8 @@
     sink.write_to(actions);
   }
 
-  /// Adds a request of estimated cost `cost` (seconds) that arrives now and has five seconds.
+  /// Adds a request with an estimated cost of `cost` seconds that arrives now and has a deadline in five
+  /// seconds.
   Request& add_request(RequestId id, std::uint32_t class_index = 0, double cost = 0.1) {
     Request request;
     request.id = id;
@@ -40,7 +41,7 @@
     return state.requests.add(std::move(request));
   }
 
-  /// Adds a ready engine of kind 0 and sets the bounds anew.
+  /// Adds an engine of kind 0 and updates the bounds.
   Engine& add_engine(EngineId id, EngineState engine_state = EngineState::ready) {
     const std::vector<EngineEntry> entries{test::engine(id, engine_state)};
     endpoints.apply({EndpointUpdate::delta, entries});
--- a/tests/decision/endpoint_list_test.cpp
+++ b/tests/decision/endpoint_list_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(EndpointList, ACompleteListRemovesTheEnginesThatItDoesNotName) {
+TEST(EndpointList, ACompleteListRemovesTheEnginesThatItDoesNotContain) {
   DecisionFixture fixture;
   const Engine& first = fixture.add_engine(1);
   const std::vector<EngineEntry> entries{test::engine(2)};
@@ -20,7 +20,7 @@
   EXPECT_TRUE(fixture.state.engines.at(2).is_ready());
 }
 
-TEST(EndpointList, ADeltaLeavesOtherEnginesAsTheyAre) {
+TEST(EndpointList, ADeltaDoesNotChangeOtherEngines) {
   DecisionFixture fixture;
   const Engine& first = fixture.add_engine(1);
 
@@ -29,7 +29,7 @@
   EXPECT_TRUE(first.is_ready());
 }
 
-TEST(EndpointList, AFailedWatchIsSubscribedAgainLater) {
+TEST(EndpointList, AFailedSubscriptionIsRetriedLater) {
   DecisionFixture fixture;
   const Engine& engine = fixture.add_engine(1);
 
@@ -39,7 +39,7 @@
   EXPECT_TRUE(engine.is_ready());
 }
 
-TEST(EndpointList, AttemptsOfAnEngineThatRestartedBelongToItsEarlierProcess) {
+TEST(EndpointList, AttemptsSentBeforeARestartBelongToTheEarlierProcess) {
   DecisionFixture fixture;
   fixture.add_engine(1);
   Request& request = fixture.add_request(1);
--- a/tests/decision/fleet_size_test.cpp
+++ b/tests/decision/fleet_size_test.cpp
@@ -1,4 +1,5 @@
-// Many managers before many engines: each sends little and sees little, and all decide alike.
+// Deployments with many managers and engines. Each manager sends few requests, has little information, and
+// decides by the same algorithm as the others.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -22,8 +23,9 @@
   return list;
 }
 
-// Guards against herding: with nothing in flight, the same tie-break at all managers sends all to one engine.
-TEST(FleetSize, FirstSendsOfManyManagersSpreadOverTheFleet) {
+// Guards against herding: if all managers broke ties in the same way, their first requests would all go to
+// one engine.
+TEST(FleetSize, FirstRequestsOfManyManagersSpreadOverTheFleet) {
   std::map<EngineId, int> first;
   for (std::uint32_t instance_index = 0; instance_index < 200; ++instance_index) {
     ManagerHarness harness(settings_of_manager(200, instance_index));
@@ -35,8 +37,8 @@
   for (const auto& [id, sends] : first) EXPECT_LE(sends, 30) << "engine " << id;
 }
 
-// The parts of a slow-start budget never sum to more than it, and never to nothing.
-TEST(FleetSize, BudgetPartsOfAnEngineInSlowStartNeverExceedItsBudget) {
+// The managers' shares of a slow-start budget never exceed it in total, and are never all zero.
+TEST(FleetSize, SharesOfASlowStartBudgetNeverExceedItInTotal) {
   for (const std::uint32_t instances : {1U, 2U, 3U, 5U, 30U, 47U, 200U, 270U, 300U}) {
     double sent = 0;
     for (std::uint32_t instance_index = 0; instance_index < instances; ++instance_index) {
@@ -60,8 +62,8 @@
   }
 }
 
-// What an earlier incarnation of a manager sent to an engine in slow start is not known to the next: all
-// parts once more, within one window, would sum to twice the budget.
+// A restarted manager doesn't know what it sent to an engine in slow start before. If all managers restarted
+// and used their shares again within one window, the engine would get twice its budget.
 TEST(FleetSize, ARestartedManagerSendsNothingToAnEngineInSlowStartInItsFirstWindow) {
   for (const std::uint32_t instances : {3U, 30U, 300U}) {
     int at_first = 0;
@@ -81,7 +83,7 @@
   }
 }
 
-TEST(FleetSize, AnIndexBeyondTheInstancesHasNoPartOfASlowStartBudget) {
+TEST(FleetSize, AnIndexBeyondTheInstancesHasNoShareOfASlowStartBudget) {
   ManagerHarness harness(settings_of_manager(5, 9));
   harness.fleet({engine(1)});
   harness.advance(5s);
@@ -91,9 +93,9 @@
   EXPECT_EQ(harness.sends(1), 0);
 }
 
-// Guards against an engine that fails fast where each engine is used seldom: one failure there must weigh
-// more than one of many.
-TEST(FleetSize, OneFailureIsEnoughWhereAnEngineIsSeldomUsed) {
+// Guards against an engine that fails fast in a large fleet. Each manager seldom uses any one engine, so a
+// single failure must have more weight than one of many.
+TEST(FleetSize, OneFailureIsEnoughToAvoidAnEngineThatIsSeldomUsed) {
   ManagerHarness harness(settings_of_manager(200, 3));
   harness.fleet(engines(10));
   harness.request(1);
@@ -108,8 +110,8 @@
   EXPECT_LE(harness.sends_to(bad), 3);
 }
 
-// Guards against a bound without effect: where a request is always alone in its class, latency must still
-// count.
+// Guards against a bound without effect: latency must limit admission even if requests are always alone in
+// their class.
 TEST(FleetSize, ARequestAloneInItsClassIsRejectedWhileLatencyIsOverTheObjective) {
   ManagerHarness harness(settings_of_manager(200, 3));
   harness.fleet(engines(10));
@@ -131,8 +133,9 @@
   EXPECT_GT(rejected, 3);
 }
 
-// An engine that recovers from ejection gets its full part again: only the endpoint list announces a start.
-TEST(FleetSize, AnEngineThatRecoversFromEjectionHasNoSlowStart) {
+// An engine that is readmitted gets its full share at once: only a start that the endpoint list reports leads
+// to a slow start.
+TEST(FleetSize, AReadmittedEngineHasNoSlowStart) {
   ManagerHarness harness(settings_of_manager(1, 0));
   harness.fleet(engines(1));
   RequestId id = 1;
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -69,11 +69,12 @@
 }  // namespace
 }  // namespace paddlestand::decision
 
-// Checked on the whole manager.
+// Tests of the complete manager.
 namespace paddlestand::test {
 namespace {
 
-// Crossing zones is expensive for a light request: it stays while engines of both zones report alike.
+// Sending a light request to another zone is expensive, so requests stay in their zone while the engines of
+// both zones report the same load.
 TEST(ZoneRouting, RequestsStayInTheirZoneUntilItIsOverloaded) {
   Settings settings = small_deployment();
   settings.cross_zone_price = 0.04;
@@ -82,8 +83,8 @@
   other_zone.zone = 1;
   harness.fleet({engine(1), other_zone});
   RequestId id = 1;
-  const auto serve = [&](int n) {
-    for (int i = 0; i < n; ++i, ++id) {
+  const auto serve = [&](int requests) {
+    for (int i = 0; i < requests; ++i, ++id) {
       harness.request(id);
       AttemptEnded end{id, 0, harness.engine_of(id), AttemptResult::served, 100ms, true, 100ms, 10, {}};
       end.report.queries = end.engine == 1 && id > 50 ? 40 : 2;
--- a/tests/decision/manager_harness.hpp
+++ b/tests/decision/manager_harness.hpp
@@ -1,4 +1,4 @@
-// Drives a WorkloadManager with scripted events and records its actions.
+// Feeds scripted events to a WorkloadManager and records its actions.
 #pragma once
 
 #include <map>
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-// Two classes, one kind of engine, one manager.
+// Settings with two classes, one kind of engine and one manager.
 inline Settings small_deployment() {
   Settings settings;
   settings.instances = 1;
@@ -62,7 +62,7 @@
     }
   }
 
-  // Moves the clock, firing timers when they are due.
+  // Advances the clock and fires the timers that expire.
   void advance(Duration by) {
     const TimePoint until = now_ + by;
     while (!timers_.empty() && timers_.begin()->first <= until) {
@@ -83,7 +83,7 @@
     handle(RequestArrived{id, class_index, 0, key, client_timeout, cost, 10, static_cast<double>(id), false});
   }
 
-  // Ends the latest attempt of a request.
+  // Ends the latest attempt of a request with `result`.
   void end(RequestId id, AttemptResult result, Duration work = 100ms) {
     AttemptEnded event;
     event.request = id;
@@ -122,10 +122,10 @@
     }
     return count;
   }
-  [[nodiscard]] bool logged(const std::string& part) const {
+  [[nodiscard]] bool logged(const std::string& text) const {
     for (const auto& [at, action] : log_) {
       if (const auto* line = std::get_if<Log>(&action);
-          line != nullptr && line->text.find(part) != line->text.npos) {
+          line != nullptr && line->text.find(text) != line->text.npos) {
         return true;
       }
     }
--- a/tests/decision/manager_state_test.cpp
+++ b/tests/decision/manager_state_test.cpp
@@ -11,7 +11,7 @@
 namespace paddlestand::decision {
 namespace {
 
-/// Writes every visited field to a text, or reads the fields back from one.
+/// Writes every visited field to a text, or restores the fields from one.
 class TextVisitor : public StateVisitor {
  public:
   TextVisitor() = default;
@@ -74,11 +74,11 @@
   engine.last_answer_at = 8;
   engine.overloaded_until = 11;
   engine.slow_start_until = 12;
-  Request& held = fixture.add_request(1);
-  held.ordering_key = 7;
+  Request& queued = fixture.add_request(1);
+  queued.ordering_key = 7;
   state.ordering_keys.append(7, 1);
   state.ordering_keys.settle_until(7, 12);
-  fixture.lifecycle.enqueue(held);
+  fixture.lifecycle.enqueue(queued);
   fixture.lifecycle.start_attempt(fixture.add_request(2), engine);
   state.retry_budget.record_arrival(9);
   state.retry_budget.record_retry(9);
@@ -87,7 +87,7 @@
   state.gossip.peers[1] = {9, {{1, 2, 0.25}}};
 }
 
-TEST(ManagerState, AStateThatIsReadBackIsTheSame) {
+TEST(ManagerState, ARestoredStateIsTheSame) {
   DecisionFixture fixture(with_all_parts());
   fill_in(fixture);
   const std::string text = text_of(fixture.state);
@@ -113,7 +113,7 @@
   EXPECT_EQ(text_of(fixture.state), text);
 }
 
-TEST(ManagerState, ThreadsOfAClassAreUsableWhateverTheSettingsSay) {
+TEST(ManagerState, AClassHasAtLeastOneThreadIfItsSettingIsInvalid) {
   Settings settings = test::small_deployment();
   settings.classes[0].threads = 0;
 
--- a/tests/decision/ordering_keys_test.cpp
+++ b/tests/decision/ordering_keys_test.cpp
@@ -5,7 +5,7 @@
 namespace paddlestand::decision {
 namespace {
 
-TEST(OrderingKeys, RequestsOfAKeyAreFirstInOrderOfArrival) {
+TEST(OrderingKeys, RequestsOfAKeyBecomeFirstInOrderOfArrival) {
   OrderingKeys keys;
   keys.append(7, 1);
   keys.append(7, 2);
@@ -18,7 +18,7 @@
   EXPECT_EQ(keys.remove(7, 2), std::nullopt);
 }
 
-TEST(OrderingKeys, RemovingALaterRequestMakesNoOtherFirst) {
+TEST(OrderingKeys, RemovingALaterRequestDoesNotChangeTheFirst) {
   OrderingKeys keys;
   keys.append(7, 1);
   keys.append(7, 2);
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(fixture.emitted<Log>().at(0).text, "engine 1 ejected: unreachable");
 }
 
-/// An engine with a good record and so many attempts in flight, as the lifecycle counts them.
+/// An engine that has served a request, with attempts in flight that are counted as by RequestLifecycle.
 class ResetAttempts : public ::testing::Test {
  protected:
   ResetAttempts() {
@@ -53,7 +53,7 @@
     for (int i = 0; i < attempts; ++i) in_flight.push_back(&add_attempt(fixture, ++last_request, 1));
     engine.queries += attempts;
   }
-  /// Ends so many of the attempts that were sent first.
+  /// Ends this number of attempts, oldest first.
   void end(int attempts, AttemptResult result) {
     for (int i = 0; i < attempts; ++i) {
       Request& request = *in_flight.front();
@@ -69,8 +69,8 @@
   RequestId last_request = 0;
 };
 
-// Guards against ejecting an engine of which one connection with many attempts ended.
-TEST_F(ResetAttempts, EjectNoEngineWhoseOtherAttemptsGoOn) {
+// Guards against ejecting an engine because one connection with many attempts was lost.
+TEST_F(ResetAttempts, DoNotEjectAnEngineWhoseOtherAttemptsContinue) {
   const double score_before = fixture.outliers.failure_score(engine);
   send(10);
   fixture.state.now += 0.01;
@@ -83,16 +83,16 @@
   EXPECT_LE(fixture.outliers.failure_score(engine), score_before);
 }
 
-// Guards against keeping an engine that has ended: all that it ran is reset.
-TEST_F(ResetAttempts, EjectAnEngineOfWhichNothingGoesOn) {
+// Guards against using an engine whose process ended: all its attempts are reset.
+TEST_F(ResetAttempts, EjectAnEngineIfAllItsAttemptsAreReset) {
   send(10);
   fixture.state.now += 0.01;
   end(10, AttemptResult::reset);
   EXPECT_EQ(engine.health, Health::ejected);
 }
 
-// Guards against keeping an engine that can't be reached any more, while earlier attempts say nothing.
-TEST_F(ResetAttempts, AndAFailedConnectEjectTheEngine) {
+// Guards against using an engine that can't be reached while earlier attempts are still unanswered.
+TEST_F(ResetAttempts, FollowedByAFailedConnectEjectTheEngine) {
   send(10);
   fixture.state.now += 0.01;
   end(8, AttemptResult::reset);
@@ -101,8 +101,8 @@
   EXPECT_EQ(engine.health, Health::ejected);
 }
 
-// Guards against keeping an engine that accepts connections and resets whatever it gets.
-TEST_F(ResetAttempts, EjectAnEngineThatResetsWhatIsSentLater) {
+// Guards against using an engine that accepts connections and resets all requests.
+TEST_F(ResetAttempts, EjectAnEngineThatAlsoResetsLaterAttempts) {
   send(2);
   fixture.state.now += 0.01;
   end(1, AttemptResult::reset);
@@ -114,7 +114,7 @@
   EXPECT_EQ(engine.health, Health::ejected);
 }
 
-TEST(OutlierDetector, AnEjectedEngineComesBackByAProbeAndAProbation) {
+TEST(OutlierDetector, AnEjectedEngineIsReadmittedAfterAProbeAndAProbation) {
   DecisionFixture fixture;
   Engine& engine = fixture.add_engine(1);
   engine.health = Health::ejected;
@@ -161,7 +161,7 @@
   EXPECT_EQ(second.failure_rate, 0);
 }
 
-TEST(OutlierDetector, ASilentEngineIsEjectedUnlessMostOthersAreTroubledToo) {
+TEST(OutlierDetector, ASilentEngineIsEjectedUnlessTooManyOthersAreUnhealthy) {
   for (const double unhealthy : {0.0, 2.0}) {
     DecisionFixture fixture;
     Engine& engine = fixture.add_engine(1);
@@ -178,7 +178,7 @@
   }
 }
 
-TEST(OutlierDetector, EvidenceDecaysTowardsWhatIsUsual) {
+TEST(OutlierDetector, TheFailureScoreDecaysToTheMeanOfAllEngines) {
   DecisionFixture fixture;
   Engine& engine = fixture.add_engine(1);
   engine.failure_rate = 1;
@@ -190,7 +190,7 @@
   EXPECT_NEAR(fixture.outliers.failure_score(engine), 0.1, 1e-3);
 }
 
-TEST(OutlierDetector, ARemovedEngineIsForgottenOnceNothingRefersToIt) {
+TEST(OutlierDetector, ARemovedEngineIsErasedOnceNothingRefersToIt) {
   DecisionFixture fixture;
   fixture.add_engine(1, EngineState::removed);
   fixture.add_engine(2, EngineState::removed);
--- a/tests/decision/peer_gossip_test.cpp
+++ b/tests/decision/peer_gossip_test.cpp
@@ -15,7 +15,7 @@
   return settings;
 }
 
-TEST(PeerGossip, AReportReplacesTheEarlierOneOfItsAuthor) {
+TEST(PeerGossip, AnAnnouncementReplacesTheEarlierOneOfItsAuthor) {
   DecisionFixture fixture(with_peers());
   const Engine& engine = fixture.add_engine(1);
   const std::vector<GossipEntry> earlier{{1, 4, 0.25}, {99, 4, 0.25}};
@@ -30,7 +30,7 @@
   EXPECT_EQ(engine.peer_memory, 2048);
 }
 
-TEST(PeerGossip, ReportsOfASilentPeerExpire) {
+TEST(PeerGossip, AnnouncementsOfASilentPeerExpire) {
   DecisionFixture fixture(with_peers());
   const Engine& engine = fixture.add_engine(1);
   const std::vector<GossipEntry> entries{{1, 4, 0.25}};
@@ -49,7 +49,7 @@
   DecisionFixture fixture(with_peers());
   Engine& engine = fixture.add_engine(1);
   Request& request = fixture.add_request(1);
-  request.estimated_memory = 819.2;  // the grant is a quarter more: a sixteenth of the engine
+  request.estimated_memory = 819.2;  // the grant is a quarter larger: 1/16 of the engine's memory
   fixture.state.classes[0].is_announced = true;
   fixture.state.now = 1;
   fixture.lifecycle.start_attempt(request, engine);
@@ -67,7 +67,7 @@
 }  // namespace
 }  // namespace paddlestand::decision
 
-// Checked on the whole manager.
+// Tests of the complete manager.
 namespace paddlestand::test {
 namespace {
 
@@ -98,21 +98,21 @@
   harness.advance(1s);
   EXPECT_EQ(messages_sent(harness), 2);
   harness.advance(60s);
-  EXPECT_EQ(messages_sent(harness), 2);  // nothing is in flight, nothing to announce
+  EXPECT_EQ(messages_sent(harness), 2);  // nothing is in flight, so nothing is announced
   for (RequestId id = 10; id < 3000; ++id) {
     harness.request(id, 1, 1s, 0, 15s);
     if (harness.sends(id) > 0) harness.end(id, AttemptResult::served, 1s);
     harness.advance(1ms);
   }
-  EXPECT_LE(messages_sent(harness), 2 + 3 + 3 * 35);  // 350 deliveries a second, over ten managers
+  EXPECT_LE(messages_sent(harness), 2 + 3 + 3 * 35);  // 350 messages per second, divided among ten managers
 }
 
-TEST(PeerGossip, AnEngineThatPeersHaveFilledIsAvoidedUntilTheirGossipExpires) {
+TEST(PeerGossip, AnEngineFilledByPeersIsAvoidedUntilTheirAnnouncementsExpire) {
   ManagerHarness harness(with_gossip());
   harness.fleet({engine(1), engine(2)});
   harness.advance(1s);
-  const std::vector<GossipEntry> out{{1, 4, 0.4}, {1, 4, 0.4}, {77, 4, 0.4}};
-  harness.handle(GossipReceived{3, out});
+  const std::vector<GossipEntry> entries{{1, 4, 0.4}, {1, 4, 0.4}, {77, 4, 0.4}};
+  harness.handle(GossipReceived{3, entries});
   for (RequestId id = 1; id <= 8; ++id) {
     harness.request(id, 1, 1s, 0, 15s);
     harness.end(id, AttemptResult::served, 1s);
@@ -130,14 +130,14 @@
   ManagerHarness harness(with_gossip());
   harness.fleet({engine(1)});
   harness.advance(1s);
-  const std::vector<GossipEntry> out{{1, 7, 0.4}, {1, 7, 0.4}, {1, 7, 0.4}};
+  const std::vector<GossipEntry> entries{{1, 7, 0.4}, {1, 7, 0.4}, {1, 7, 0.4}};
   for (const std::uint32_t author : {0U, 10U, 65535U, 4000000000U})
-    harness.handle(GossipReceived{author, out});
+    harness.handle(GossipReceived{author, entries});
   harness.request(1, 1, 1s, 0, 15s);
   EXPECT_EQ(harness.sends(1), 1);
 }
 
-TEST(PeerGossip, NothingIsAnnouncedWhereItIsNotAllowedOrTooExpensive) {
+TEST(PeerGossip, NothingIsAnnouncedIfGossipIsNotAllowedOrTooExpensive) {
   for (const bool allowed : {false, true}) {
     Settings settings = with_gossip();
     settings.may_gossip = allowed;
--- a/tests/decision/random_traffic_test.cpp
+++ b/tests/decision/random_traffic_test.cpp
@@ -1,5 +1,5 @@
-// Random legal sequences of events; the rules are checked on the actions, from outside. No server is
-// modelled: outcomes are drawn by chance.
+// Feeds random valid sequences of events to a manager and checks its actions against the rules. No engine is
+// modelled: results of attempts are random.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -45,7 +45,7 @@
   TimePoint first_uncertain_send{};
 };
 
-// Drives the manager and checks every action against the rules.
+// Generates events and checks every action against the rules.
 class RandomTraffic : public ::testing::TestWithParam<unsigned> {
  protected:
   unsigned draw(unsigned below) { return static_cast<unsigned>(random_() % below); }
@@ -127,7 +127,8 @@
   void check_send(TimePoint at, const Send& send) {
     TrackedRequest& request = requests_.at(send.request);
     ASSERT_FALSE(request.is_over);
-    ASSERT_FALSE(contains_true(request.in_flight)) << "two at once";
+    ASSERT_FALSE(contains_true(request.in_flight))
+        << "request " << send.request << " has two attempts in flight";
     ASSERT_EQ(engine_states_.at(send.engine), EngineState::ready);
     ASSERT_LT(request.in_flight.size(), settings_.max_attempts);
     const bool may_have_run = contains_true(request.may_have_run);
@@ -149,7 +150,8 @@
     for (const RequestId earlier_id : requests_of_key_[request.ordering_key]) {
       if (earlier_id == id) break;
       const TrackedRequest& earlier = requests_.at(earlier_id);
-      ASSERT_TRUE(earlier.is_over && !contains_true(earlier.in_flight)) << "out of order";
+      ASSERT_TRUE(earlier.is_over && !contains_true(earlier.in_flight))
+          << "request " << id << " was sent before request " << earlier_id << " of its ordering key was over";
     }
     const auto settles_at = settles_at_.find(request.ordering_key);
     if (request.in_flight.empty() && settles_at != settles_at_.end()) { ASSERT_GE(at, settles_at->second); }
@@ -172,7 +174,7 @@
 
   void check_answer(TimePoint at, RequestId id) {
     TrackedRequest& request = requests_.at(id);
-    ASSERT_FALSE(request.is_over) << "answered twice";
+    ASSERT_FALSE(request.is_over) << "request " << id << " was answered twice";
     ASSERT_LE(at, request.deadline + settings_.answer_slack);
     request.is_over = true;
     ++request.answers;
@@ -188,7 +190,7 @@
   std::size_t inspected_ = 0;
 };
 
-TEST_P(RandomTraffic, KeepsTheRules) {
+TEST_P(RandomTraffic, AllActionsFollowTheRules) {
   for (EngineId id = 1; id <= 4; ++id) change_engine(id, EngineState::ready, 0s);
 
   for (int step = 0; step < 4000; ++step) {
--- a/tests/decision/readme_example_test.cpp
+++ b/tests/decision/readme_example_test.cpp
@@ -1,4 +1,4 @@
-// The example of the README, kept compiling and true.
+// The example of the README: checks that it compiles and does what the README says.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/decision/recent_times_test.cpp
+++ b/tests/decision/recent_times_test.cpp
@@ -5,7 +5,7 @@
 namespace paddlestand::decision {
 namespace {
 
-TEST(RecentTimes, AnEventAtTheEdgeOfAWindowIsCountedByOneOfTheTwoCounts) {
+TEST(RecentTimes, AnEventAtTheEdgeOfAWindowIsCountedOnlyByCountFrom) {
   RecentTimes times;
   times.add(1);
   times.add(2);
@@ -15,7 +15,7 @@
   EXPECT_EQ(times.count_from(2), 2);
 }
 
-TEST(RecentTimes, OldEventsAreForgottenAndThoseAtTheLimitStay) {
+TEST(RecentTimes, EventsBeforeTheLimitAreErased) {
   RecentTimes times;
   times.add(1);
   times.add(2);
--- a/tests/decision/request_lifecycle_test.cpp
+++ b/tests/decision/request_lifecycle_test.cpp
@@ -7,7 +7,7 @@
 namespace paddlestand::decision {
 namespace {
 
-TEST(RequestLifecycle, HeldRequestsAreQueuedInOrderOfArrival) {
+TEST(RequestLifecycle, RequestsAreQueuedInOrderOfArrival) {
   DecisionFixture fixture;
   Request& early = fixture.add_request(2);
   fixture.state.now = 1;
@@ -40,7 +40,7 @@
   EXPECT_EQ(fixture.state.classes[0].running_cost, 0);
 }
 
-TEST(RequestLifecycle, TheFinalAnswerCancelsWhatIsInFlight) {
+TEST(RequestLifecycle, TheFinalAnswerCancelsAttemptsInFlight) {
   DecisionFixture fixture;
   Engine& engine = fixture.add_engine(1);
   Request& request = fixture.add_request(1);
@@ -50,10 +50,10 @@
 
   EXPECT_EQ(fixture.emitted<Cancel>().size(), 1U);
   EXPECT_EQ(fixture.emitted<Reject>().size(), 1U);
-  EXPECT_TRUE(fixture.state.requests.contains(1)) << "its attempt is in flight still";
+  EXPECT_TRUE(fixture.state.requests.contains(1)) << "its attempt is still in flight";
 }
 
-TEST(RequestLifecycle, ForgettingARequestMakesTheNextOfItsKeyTheFirst) {
+TEST(RequestLifecycle, ErasingARequestMakesTheNextOfItsKeyTheFirst) {
   DecisionFixture fixture;
   for (const RequestId id : {1U, 2U}) {
     fixture.add_request(id).ordering_key = 7;
--- a/tests/decision/resource_grants_test.cpp
+++ b/tests/decision/resource_grants_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_EQ(fixture.grants.priority_of(request), 0);
 }
 
-TEST(ResourceGrants, ThreadsOfLowerPriorityHardlyCompeteWhereEnginesHonourPriorities) {
+TEST(ResourceGrants, ThreadsOfLowerPriorityCountInPartIfEnginesHonorPriorities) {
   Settings settings = test::small_deployment();
   settings.engines_honor_priorities = true;
   DecisionFixture fixture(settings);
@@ -46,7 +46,7 @@
   EXPECT_DOUBLE_EQ(fixture.grants.competing_threads(request), 16);
 }
 
-TEST(ResourceGrants, AGrantIsMadeOnlyWhereEnginesHonourIt) {
+TEST(ResourceGrants, AGrantIsMadeOnlyIfEnginesHonorIt) {
   Settings settings = test::small_deployment();
   settings.engines_honor_grants = true;
   DecisionFixture fixture(settings);
@@ -61,7 +61,7 @@
   EXPECT_FALSE(without_grants.grants.grant_for(without_grants.add_request(1), attempt).has_value());
 }
 
-TEST(ResourceGrants, UnannouncedMemoryIsBoundedWhereAShortageHarmsAll) {
+TEST(ResourceGrants, UnannouncedMemoryIsBoundedIfEnginesOvercommit) {
   Settings settings = test::small_deployment();
   settings.memory_shortage = MemoryShortage::overcommit;
   DecisionFixture fixture(settings);
@@ -78,7 +78,7 @@
 }  // namespace
 }  // namespace paddlestand::decision
 
-// Checked on the whole manager.
+// Tests of the complete manager.
 namespace paddlestand::test {
 namespace {
 
@@ -101,8 +101,9 @@
   return sent;
 }
 
-// Guards against memory that stays full: slowed requests hold it longer.
-TEST(MemoryBound, AManagersPartLimitsWhereAShortageHarmsAllThatRuns) {
+// Guards against memory that stays full: a shortage slows down all requests, so they hold their memory
+// longer.
+TEST(MemoryBound, AManagerStaysWithinItsShareUnlessEnginesQueueRequests) {
   const int with_queue = sent_of_ten_large_requests(MemoryShortage::queue);
   for (const MemoryShortage shortage : {MemoryShortage::overcommit, MemoryShortage::reduce_grant}) {
     const int sent = sent_of_ten_large_requests(shortage);
--- a/tests/decision/retry_budget_test.cpp
+++ b/tests/decision/retry_budget_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_FALSE(budget.allows_retry(1));
 }
 
-TEST(RetryBudget, AShareOfTheArrivalsIsAllowedOnTop) {
+TEST(RetryBudget, AShareOfTheArrivalsIsAllowedInAddition) {
   const Settings settings = with_budget(0, 0.5);
   RetryBudget budget(settings);
 
--- a/tests/decision/rules_test.cpp
+++ b/tests/decision/rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules of the platform, checked on the whole manager by scripted events.
+// Checks the rules of the platform on the complete manager, with scripted events.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace paddlestand::test {
 namespace {
 
-TEST(DeadlineRule, AHeldOrSentRequestIsAnsweredOnceBeforeItsDeadline) {
+TEST(DeadlineRule, AnUnfinishedRequestIsAnsweredOnceBeforeItsDeadline) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1)});
   harness.request(1, 0, 100ms, 0, 700ms);
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(IdempotencyRule, NonIdempotentWorkThatMayHaveRunFailsAndIsNeitherRetriedNorRejected) {
+TEST(IdempotencyRule, ANonIdempotentRequestThatMayHaveRunIsAnsweredWithFail) {
   Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   for (const AttemptResult result : {AttemptResult::engine_error, AttemptResult::reset,
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(IdempotencyRule, NonIdempotentWorkThatDidNotRunIsRetried) {
+TEST(IdempotencyRule, ANonIdempotentRequestThatDidNotRunIsRetried) {
   Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   ManagerHarness harness(settings);
@@ -46,7 +46,7 @@
   EXPECT_EQ(harness.sends(1), 2);
 }
 
-TEST(IdempotencyRule, WorkWithAKeyIsRetriedOnlyInItsScope) {
+TEST(IdempotencyRule, ARequestWithAKeyIsRetriedOnlyInItsScope) {
   Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_scope = IdempotencyScope::cell;
@@ -64,7 +64,7 @@
   EXPECT_EQ(harness.count<Fail>(1), 1);
 }
 
-TEST(IdempotencyRule, WorkWithAKeyIsNotRetriedAfterItsWindow) {
+TEST(IdempotencyRule, ARequestWithAKeyIsNotRetriedAfterItsWindow) {
   Settings settings = small_deployment();
   settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_window = 1s;
@@ -79,7 +79,7 @@
   EXPECT_EQ(harness.sends(1), 1);
 }
 
-TEST(DrainRule, NothingIsSentToADrainingOrMissingEngine) {
+TEST(DrainRule, NothingIsSentToADrainingOrRemovedEngine) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   harness.fleet({engine(1, EngineState::draining)}, EndpointUpdate::delta);
@@ -90,7 +90,7 @@
   EXPECT_EQ(harness.sends_to(3), 0);
 }
 
-TEST(SlowStartRule, AnEngineInSlowStartGetsAtMostThisInstancesPart) {
+TEST(SlowStartRule, AnEngineInSlowStartGetsAtMostThisInstancesShare) {
   Settings settings = small_deployment();
   settings.instances = 2;
   ManagerHarness harness(settings);
@@ -181,7 +181,7 @@
   EXPECT_LE(retries, 5);
 }
 
-TEST(AttemptLimitRule, ARequestHasAtMostTheAllowedAttempts) {
+TEST(AttemptLimitRule, ARequestHasAtMostTheAllowedNumberOfAttempts) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3), engine(4), engine(5)});
   harness.request(1);
--- a/tests/decision/send_rules_test.cpp
+++ b/tests/decision/send_rules_test.cpp
@@ -23,7 +23,7 @@
   return fixture.rules.may_send_now(request) && fixture.rules.may_send_to(request, engine);
 }
 
-TEST(SendRules, AReadyEngineMayGetARequestAndADrainingOneMayNot) {
+TEST(SendRules, ARequestMayBeSentToAReadyEngineButNotToADrainingOne) {
   DecisionFixture fixture;
   const Request& request = fixture.add_request(1);
 
@@ -45,7 +45,7 @@
   EXPECT_FALSE(may_send(fixture, request, engine));
 }
 
-TEST(SendRules, NonIdempotentWorkThatMayHaveRunIsNeitherRepeatedNorRejected) {
+TEST(SendRules, ANonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected) {
   Settings settings = test::small_deployment();
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   DecisionFixture fixture(settings);
@@ -61,7 +61,7 @@
   EXPECT_TRUE(fixture.rules.may_reject(request));
 }
 
-TEST(SendRules, WorkWithAnIdempotencyKeyIsRepeatedOnlyWhereAndWhileRepeatsAreDropped) {
+TEST(SendRules, ARequestWithAnIdempotencyKeyIsRetriedOnlyInItsScopeAndWindow) {
   Settings settings = test::small_deployment();
   settings.classes[0].idempotency = Idempotency::idempotent_with_key;
   settings.classes[0].idempotency_scope = IdempotencyScope::cell;
@@ -79,7 +79,7 @@
   EXPECT_FALSE(may_send(fixture, request, same_cell));
 }
 
-TEST(SendRules, AKeyThatSettlesHoldsBackFirstAttemptsOnly) {
+TEST(SendRules, ASettlingKeyDelaysOnlyFirstAttempts) {
   DecisionFixture fixture;
   Request& request = fixture.add_request(1);
   request.ordering_key = 7;
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -7,7 +7,7 @@
 namespace paddlestand::decision {
 namespace {
 
-TEST(SlowStart, AWarmEngineHasNoLimit) {
+TEST(SlowStart, AnEngineHasNoLimitAfterItsSlowStart) {
   DecisionFixture fixture;
   const Engine& engine = fixture.add_engine(1);
 
@@ -15,7 +15,7 @@
   EXPECT_EQ(fixture.slow_start.capacity_share(engine), 1);
 }
 
-TEST(SlowStart, AnEngineThatWarmsUpGetsItsBudgetInEachWindow) {
+TEST(SlowStart, AnEngineInSlowStartGetsItsBudgetInEachWindow) {
   DecisionFixture fixture;
   fixture.state.now = 10;
   Engine& engine = fixture.add_engine(1);
@@ -43,7 +43,7 @@
   EXPECT_FALSE(fixture.slow_start.allows(fixture.add_request(1), engine));
 }
 
-TEST(SlowStart, RecordsOfWarmEnginesAreForgotten) {
+TEST(SlowStart, RecordedSendsAreErasedAfterTheSlowStart) {
   DecisionFixture fixture;
   Engine& engine = fixture.add_engine(1);
   engine.slow_start_until = 20;
--- a/tests/decision/tenant_quota_test.cpp
+++ b/tests/decision/tenant_quota_test.cpp
@@ -15,19 +15,19 @@
 }
 
 int consumed_at(TenantQuota& quota, double now) {
-  int within = 0;
-  while (quota.consume(0, now)) ++within;
-  return within;
+  int consumed = 0;
+  while (quota.consume(0, now)) ++consumed;
+  return consumed;
 }
 
-TEST(TenantQuota, ABurstOfOneSecondAndThreeRequestsIsWithinTheQuota) {
+TEST(TenantQuota, ABurstOfOneSecondsQuotaPlusThreeRequestsIsWithinTheQuota) {
   const Settings settings = with_tenant(10, 1);
   TenantQuota quota(settings);
 
   EXPECT_EQ(consumed_at(quota, 0), 13);
 }
 
-TEST(TenantQuota, TokensAreRefilledAtThisManagersPartOfTheRate) {
+TEST(TenantQuota, TokensAreRefilledAtThisManagersShareOfTheRate) {
   const Settings settings = with_tenant(10, 2);
   TenantQuota quota(settings);
 
--- a/tests/decision/workload_manager_test.cpp
+++ b/tests/decision/workload_manager_test.cpp
@@ -1,4 +1,4 @@
-// Decisions of the whole manager, by scripted events.
+// Tests decisions of the complete manager with scripted events.
 #include <gtest/gtest.h>
 
 #include "manager_harness.hpp"
@@ -15,7 +15,7 @@
   EXPECT_EQ(harness.sends_to(3), 2);
 }
 
-TEST(LoadBalancing, WithNoEngineARequestIsHeldAndAnsweredInTime) {
+TEST(LoadBalancing, WithoutEnginesARequestIsQueuedAndAnsweredInTime) {
   ManagerHarness harness(small_deployment());
   harness.fleet({});
   harness.request(1, 0, 100ms, 0, 2s);
@@ -25,7 +25,7 @@
   EXPECT_EQ(harness.sends(1), 0);
 }
 
-TEST(LoadBalancing, AHeldRequestIsSentWhenAnEngineBecomesReady) {
+TEST(LoadBalancing, AQueuedRequestIsSentWhenAnEngineBecomesReady) {
   ManagerHarness harness(small_deployment());
   harness.fleet({});
   harness.request(1);
@@ -50,9 +50,9 @@
   EXPECT_LT(light, 10);
 }
 
-// Guards against one key with many requests: its queue filled the class's bound, and requests of free keys
-// were rejected while the engines were idle.
-TEST(AdmissionBound, AQueueBehindOneKeyDoesNotRejectOtherKeys) {
+// Guards against rejecting requests of idle ordering keys. The queue behind one busy key filled the class's
+// bound, so that requests of other keys were rejected while engines were idle.
+TEST(AdmissionBound, AQueueBehindOneKeyDoesNotCauseRejectionsForOtherKeys) {
   Settings settings = small_deployment();
   settings.classes[1].ordered_by_key = true;
   ManagerHarness harness(settings);
@@ -72,9 +72,9 @@
   }
 }
 
-// Guards against clients that ask for what no engine knows: each such request fails at three engines within a
-// millisecond, and healthy engines were ejected for it.
-TEST(OutlierDetection, ARequestThatFailsAtEveryEngineCountsAgainstNone) {
+// Guards against ejecting healthy engines because of invalid requests: each such request fails on three
+// engines within a millisecond.
+TEST(OutlierDetection, ARequestThatFailsOnEveryEngineCountsAgainstNone) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3), engine(4)});
   for (RequestId id = 1; id <= 12; ++id) {
@@ -89,8 +89,8 @@
   EXPECT_FALSE(harness.logged("ejected"));
 }
 
-// A request that another engine serves is not at fault: its failure counts against the first engine.
-TEST(OutlierDetection, AnEngineThatFailsWhatOthersServeIsEjected) {
+// If another engine serves the request, its failure counts against the first engine.
+TEST(OutlierDetection, AnEngineThatFailsRequestsThatOthersServeIsEjected) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1; id <= 40 && !harness.logged("ejected"); ++id) {
@@ -104,14 +104,14 @@
   EXPECT_TRUE(harness.logged("engine 2 ejected: query errors"));
 }
 
-TEST(AdmissionBound, HeldRequestsAreSentInOrderOfArrival) {
+TEST(AdmissionBound, QueuedRequestsAreSentInOrderOfArrival) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1)});
   RequestId last = 40;
   for (RequestId id = 1; id <= last; ++id) harness.request(id, 0, 100ms);
   RequestId next = 1;
   while (next <= last && harness.sends(next) == 1) ++next;
-  ASSERT_LE(next, last) << "nothing was held";
+  ASSERT_LE(next, last) << "no request was queued";
   ASSERT_EQ(harness.count<Reject>(next), 0);
   harness.end(1, AttemptResult::served);
   EXPECT_EQ(harness.sends(next), 1);
@@ -127,7 +127,7 @@
   EXPECT_EQ(harness.sends(2), 1);
 }
 
-// Guards against a bound that closes completely: light requests must be admitted where heavy ones are not.
+// Guards against a bound that closes completely: light requests must be admitted even if heavy ones are not.
 TEST(AdmissionBound, UnderLastingPressureLightRequestsAreStillAdmitted) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1)});
@@ -151,8 +151,8 @@
   EXPECT_LT(light, heavy / 2);
 }
 
-// Guards against the black hole: an engine that fails fast looks least loaded.
-TEST(OutlierDetection, AnEngineThatFailsFastIsAvoidedAndRetriedLater) {
+// Guards against sending most requests to an engine that fails fast, because it seems to be the least loaded.
+TEST(OutlierDetection, AnEngineThatFailsFastIsAvoidedAndTriedAgainLater) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   for (RequestId id = 1000; id < 1060; ++id) {
@@ -178,7 +178,7 @@
   EXPECT_GT(harness.sends_to(1), before);
 }
 
-// Sends requests until three are in flight at `engine`; returns these.
+// Adds requests until three are in flight on `engine`; returns the ids of these.
 std::vector<RequestId> request_until_three_are_at(ManagerHarness& harness, EngineId engine) {
   std::vector<RequestId> at_engine;
   for (RequestId id = 1; at_engine.size() < 3; ++id) {
@@ -188,7 +188,7 @@
   return at_engine;
 }
 
-// Two errors in a row eject an engine; those of the process that ran there before it restarted do not.
+// Two failures in a row eject an engine, unless they belong to the process that ran before it restarted.
 TEST(OutlierDetection, FailuresOfAnEarlierProcessDoNotEjectItsSuccessor) {
   for (const bool restarted : {false, true}) {
     ManagerHarness harness(small_deployment());
@@ -200,8 +200,8 @@
   }
 }
 
-// Removed and ready again without a start time: a new process, too.
-TEST(OutlierDetection, AnEngineThatWasRemovedIsANewProcessWhenItReturns) {
+// An engine without a start time that was removed and is ready again counts as a new process too.
+TEST(OutlierDetection, AnEngineThatReturnsAfterRemovalIsANewProcess) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2)});
   const std::vector<RequestId> at_first = request_until_three_are_at(harness, 1);
@@ -211,9 +211,9 @@
   EXPECT_FALSE(harness.logged("engine 1 ejected"));
 }
 
-// Guards against an engine that accepts work and answers nothing: its work is cancelled and retried
-// elsewhere.
-TEST(OutlierDetection, WorkOnASilentEngineIsRetriedElsewhere) {
+// Guards against an engine that accepts requests and answers none: they are cancelled and retried on another
+// one.
+TEST(OutlierDetection, RequestsOnASilentEngineAreRetriedOnAnother) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2), engine(3)});
   RequestId id = 1;
@@ -235,7 +235,7 @@
   EXPECT_NE(harness.engine_of(lost), 1U);
 }
 
-TEST(Retries, AnAttemptThatDidNotRunIsRetriedElsewhereAtOnce) {
+TEST(Retries, ARequestThatDidNotRunIsRetriedOnAnotherEngineAtOnce) {
   ManagerHarness harness(small_deployment());
   harness.fleet({engine(1), engine(2)});
   harness.request(1);
@@ -245,8 +245,8 @@
   EXPECT_NE(harness.engine_of(1), first);
 }
 
-TEST(Determinism, TheSameEventsGiveTheSameActionsBesideAnotherInstance) {
-  const auto play = [](ManagerHarness* other) {
+TEST(Determinism, TheSameEventsCauseTheSameActionsDespiteAnotherInstance) {
+  const auto run_events = [](ManagerHarness* other) {
     ManagerHarness harness(small_deployment());
     harness.fleet({engine(1), engine(2)});
     for (RequestId id = 1; id < 80; ++id) {
@@ -265,12 +265,12 @@
   };
   ManagerHarness other(small_deployment());
   other.fleet({engine(1)});
-  const auto alone = play(nullptr);
+  const auto alone = run_events(nullptr);
   EXPECT_GT(alone.size(), 80U);
-  EXPECT_EQ(alone, play(&other));
+  EXPECT_EQ(alone, run_events(&other));
 }
 
-TEST(BadInput, AbsurdSettingsStillAnswerOnceAndInTime) {
+TEST(InvalidSettings, RequestsAreAnsweredOnceAndInTime) {
   for (int variant = 0; variant < 5; ++variant) {
     Settings settings = small_deployment();
     if (variant == 0) settings = Settings{};
