--- a/tests/decision/attempt_timeouts_test.cpp
+++ b/tests/decision/attempt_timeouts_test.cpp
@@ -44,8 +44,8 @@
   EXPECT_EQ(fixture.emitted<Cancel>().size(), 3U);
 }
 
-TEST(AttemptTimeouts, NothingIsCancelledWhereThatIsNotAllowed) {
-  Settings settings = test::small_site();
+TEST(AttemptTimeouts, NothingIsCancelledIfCancellationIsNotAllowed) {
+  Settings settings = test::small_deployment();
   settings.may_cancel = false;
   DecisionFixture fixture(settings);
   fixture.add_engine(1);
@@ -74,18 +74,18 @@
 }  // namespace
 }  // namespace paddlestand::decision
 
-// Checked on the whole manager.
+// Tests of the complete manager.
 namespace paddlestand::test {
 namespace {
 
 Settings with_progress_reports() {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.progress_report_period = 500ms;
   return settings;
 }
 
-// Starts one heavy request alone, after some that showed how long such requests run.
-RequestId start_heavy(ManagerHarness& harness) {
+// Starts one heavy request alone, after several others from which the manager learns how long they run.
+RequestId start_heavy_request(ManagerHarness& harness) {
   harness.fleet({engine(1), engine(2)});
   for (RequestId id = 1; id <= 10; ++id) {
     harness.request(id, 1, 1s, 0, 15s);
@@ -95,10 +95,10 @@
   return 50;
 }
 
-// Guards against cancelling what is only long: its work would be lost and done again.
-TEST(ProgressReports, AnAttemptThatProgressesIsNotCancelledForItsAge) {
+// Guards against cancelling a request that is only long: its work would be lost and repeated.
+TEST(ProgressReports, AnAttemptThatProgressesIsNotCancelledBecauseOfItsAge) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   for (int i = 1; i <= 6; ++i) {
     harness.advance(500ms);
     harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.15 * i});
@@ -106,21 +106,21 @@
   EXPECT_EQ(harness.count<Cancel>(id), 0);
 }
 
-// Guards against a bad plan: little is done, and what remains would take longer than a new run.
-TEST(ProgressReports, AnAttemptWithABadPlanIsCancelledAtItsFirstReports) {
+// Guards against waiting for a bad plan: little is done, and the remainder would take longer than a new run.
+TEST(ProgressReports, AnAttemptWithABadPlanIsCancelledAfterItsFirstReports) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   harness.advance(500ms);
   harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.02});
   harness.advance(200ms);
   EXPECT_EQ(harness.count<Cancel>(id), 1);
 }
 
-// Guards against lost answers: reports of an attempt that has ended stop, whatever its engine answers to
-// others.
+// Guards against lost answers: the reports of an ended attempt stop, even if its engine answers other
+// requests.
 TEST(ProgressReports, AnAttemptWithoutFurtherReportsIsCancelled) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   harness.advance(400ms);
   harness.handle(ProgressReported{id, 0, ProgressKind::progress, 0.9});
   harness.advance(700ms);
@@ -131,7 +131,7 @@
 
 TEST(ProgressReports, InvalidReportsAndReportsOfUnknownAttemptsAreIgnored) {
   ManagerHarness harness(with_progress_reports());
-  const RequestId id = start_heavy(harness);
+  const RequestId id = start_heavy_request(harness);
   harness.handle(ProgressReported{id, 7, ProgressKind::progress, 0.5});
   harness.handle(ProgressReported{999, 0, ProgressKind::progress, 0.5});
   harness.handle(ProgressReported{id, 0, ProgressKind::progress, -1});
--- a/tests/decision/fleet_size_test.cpp
+++ b/tests/decision/fleet_size_test.cpp
@@ -1,4 +1,5 @@
-// Many managers before many engines: each sends little and sees little, and all decide alike.
+// Deployments with many managers and engines. Each manager sends few requests, has little information, and
+// decides by the same algorithm as the others.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,8 +9,8 @@
 namespace paddlestand::test {
 namespace {
 
-Settings one_of(std::uint32_t instances, std::uint32_t instance_index) {
-  Settings settings = small_site();
+Settings settings_of_manager(std::uint32_t instances, std::uint32_t instance_index) {
+  Settings settings = small_deployment();
   settings.instances = instances;
   settings.instance_index = instance_index;
   settings.seed = 1000 + instance_index;
@@ -22,11 +23,12 @@
   return list;
 }
 
-// Guards against herding: with nothing in flight, the same tie-break at all managers sends all to one engine.
-TEST(FleetSize, FirstSendsOfManyManagersSpreadOverTheFleet) {
+// Guards against herding: if all managers broke ties in the same way, their first requests would all go to
+// one engine.
+TEST(FleetSize, FirstRequestsOfManyManagersSpreadOverTheFleet) {
   std::map<EngineId, int> first;
   for (std::uint32_t instance_index = 0; instance_index < 200; ++instance_index) {
-    ManagerHarness harness(one_of(200, instance_index));
+    ManagerHarness harness(settings_of_manager(200, instance_index));
     harness.fleet(engines(20));
     harness.request(1);
     ++first[harness.engine_of(1)];
@@ -35,12 +37,12 @@
   for (const auto& [id, sends] : first) EXPECT_LE(sends, 30) << "engine " << id;
 }
 
-// The parts of a slow-start budget never sum to more than it, and never to nothing.
-TEST(FleetSize, BudgetPartsOfAnEngineInSlowStartNeverExceedItsBudget) {
+// The managers' shares of a slow-start budget never exceed it in total, and are never all zero.
+TEST(FleetSize, SharesOfASlowStartBudgetNeverExceedItInTotal) {
   for (const std::uint32_t instances : {1U, 2U, 3U, 5U, 30U, 47U, 200U, 270U, 300U}) {
     double sent = 0;
     for (std::uint32_t instance_index = 0; instance_index < instances; ++instance_index) {
-      ManagerHarness harness(one_of(instances, instance_index));
+      ManagerHarness harness(settings_of_manager(instances, instance_index));
       harness.fleet({engine(1)});
       for (RequestId id = 1; id <= 20; ++id) {
         harness.request(id);
@@ -60,19 +62,19 @@
   }
 }
 
-// What an earlier incarnation of a manager sent to an engine in slow start is not known to the next: all
-// parts once more, within one window, would sum to twice the budget.
+// A restarted manager doesn't know what it sent to an engine in slow start before. If all managers restarted
+// and used their shares again within one window, the engine would get twice its budget.
 TEST(FleetSize, ARestartedManagerSendsNothingToAnEngineInSlowStartInItsFirstWindow) {
   for (const std::uint32_t instances : {3U, 30U, 300U}) {
     int at_first = 0;
     int later = 0;
     for (std::uint32_t instance_index = 0; instance_index < instances; ++instance_index) {
-      ManagerHarness harness(one_of(instances, instance_index));
+      ManagerHarness harness(settings_of_manager(instances, instance_index));
       harness.fleet({engine(2, EngineState::ready, harness.now())});
       for (RequestId id = 1; id <= 3; ++id) harness.request(id);
-      harness.advance(one_of(instances, instance_index).overload_window / 2);
+      harness.advance(settings_of_manager(instances, instance_index).overload_window / 2);
       at_first += harness.sends_to(2);
-      harness.advance(one_of(instances, instance_index).overload_window);
+      harness.advance(settings_of_manager(instances, instance_index).overload_window);
       harness.request(9);
       later += harness.sends_to(2);
     }
@@ -81,8 +83,8 @@
   }
 }
 
-TEST(FleetSize, AnIndexBeyondTheInstancesHasNoPartOfASlowStartBudget) {
-  ManagerHarness harness(one_of(5, 9));
+TEST(FleetSize, AnIndexBeyondTheInstancesHasNoShareOfASlowStartBudget) {
+  ManagerHarness harness(settings_of_manager(5, 9));
   harness.fleet({engine(1)});
   harness.advance(5s);
   harness.fleet({engine(1, EngineState::removed), engine(2, EngineState::ready, harness.now())},
@@ -91,10 +93,10 @@
   EXPECT_EQ(harness.sends(1), 0);
 }
 
-// Guards against an engine that fails fast where each engine is used seldom: one failure there must weigh
-// more than one of many.
-TEST(FleetSize, OneFailureIsEnoughWhereAnEngineIsSeldomUsed) {
-  ManagerHarness harness(one_of(200, 3));
+// Guards against an engine that fails fast in a large fleet. Each manager seldom uses any one engine, so a
+// single failure must have more weight than one of many.
+TEST(FleetSize, OneFailureIsEnoughToAvoidAnEngineThatIsSeldomUsed) {
+  ManagerHarness harness(settings_of_manager(200, 3));
   harness.fleet(engines(10));
   harness.request(1);
   const EngineId bad = harness.engine_of(1);
@@ -108,10 +110,10 @@
   EXPECT_LE(harness.sends_to(bad), 3);
 }
 
-// Guards against a bound without effect: where a request is always alone in its class, latency must still
-// count.
+// Guards against a bound without effect: latency must limit admission even if requests are always alone in
+// their class.
 TEST(FleetSize, ARequestAloneInItsClassIsRejectedWhileLatencyIsOverTheObjective) {
-  ManagerHarness harness(one_of(200, 3));
+  ManagerHarness harness(settings_of_manager(200, 3));
   harness.fleet(engines(10));
   RequestId id = 1;
   for (; id <= 20; ++id) {
@@ -131,9 +133,10 @@
   EXPECT_GT(rejected, 3);
 }
 
-// An engine that recovers from ejection gets its full part again: only the endpoint list announces a start.
-TEST(FleetSize, AnEngineThatRecoversFromEjectionHasNoSlowStart) {
-  ManagerHarness harness(one_of(1, 0));
+// An engine that is readmitted gets its full share at once: only a start that the endpoint list reports leads
+// to a slow start.
+TEST(FleetSize, AReadmittedEngineHasNoSlowStart) {
+  ManagerHarness harness(settings_of_manager(1, 0));
   harness.fleet(engines(1));
   RequestId id = 1;
   for (; id <= 30; ++id) {
@@ -143,7 +146,7 @@
   harness.request(id);
   for (int i = 0; i < 3; ++i) harness.end(id, AttemptResult::connect_failed);
   ++id;
-  ASSERT_TRUE(harness.logged("engine 1 ejected: not reached"));
+  ASSERT_TRUE(harness.logged("engine 1 ejected: unreachable"));
   harness.advance(3s);
   harness.handle(ProbeEnded{1, AttemptResult::served, 1ms, {}});
   for (const RequestId last = id + 20; id < last; ++id) {
@@ -159,7 +162,7 @@
 
 TEST(FleetSize, EveryRequestIsAnsweredOnceAtAnyNumberOfInstances) {
   for (const std::uint32_t instances : {0U, 1U, 5U, 200U, 4000000000U}) {
-    ManagerHarness harness(one_of(instances, 0));
+    ManagerHarness harness(settings_of_manager(instances, 0));
     harness.fleet(engines(6));
     int unanswered = 0;
     for (RequestId id = 1; id <= 100; ++id) {
--- a/tests/decision/request_lifecycle_test.cpp
+++ b/tests/decision/request_lifecycle_test.cpp
@@ -7,14 +7,14 @@
 namespace paddlestand::decision {
 namespace {
 
-TEST(RequestLifecycle, HeldRequestsAreQueuedInOrderOfArrival) {
+TEST(RequestLifecycle, RequestsAreQueuedInOrderOfArrival) {
   DecisionFixture fixture;
   Request& early = fixture.add_request(2);
   fixture.state.now = 1;
   Request& late = fixture.add_request(1);
 
-  fixture.lifecycle.hold(late);
-  fixture.lifecycle.hold(early);
+  fixture.lifecycle.enqueue(late);
+  fixture.lifecycle.enqueue(early);
 
   EXPECT_EQ(fixture.state.classes[0].queue, (std::vector<RequestId>{2, 1}));
   EXPECT_DOUBLE_EQ(fixture.state.classes[0].queued_cost, 0.2);
@@ -24,10 +24,10 @@
   DecisionFixture fixture;
   Engine& engine = fixture.add_engine(1);
   Request& request = fixture.add_request(1);
-  fixture.lifecycle.hold(request);
+  fixture.lifecycle.enqueue(request);
 
   fixture.lifecycle.start_attempt(request, engine);
-  EXPECT_FALSE(request.is_held);
+  EXPECT_FALSE(request.is_queued);
   EXPECT_EQ(engine.queries, 1);
   EXPECT_EQ(engine.threads, 1);
   EXPECT_DOUBLE_EQ(fixture.state.classes[0].running_cost, 0.1);
@@ -40,7 +40,7 @@
   EXPECT_EQ(fixture.state.classes[0].running_cost, 0);
 }
 
-TEST(RequestLifecycle, TheFinalAnswerCancelsWhatIsInFlight) {
+TEST(RequestLifecycle, TheFinalAnswerCancelsAttemptsInFlight) {
   DecisionFixture fixture;
   Engine& engine = fixture.add_engine(1);
   Request& request = fixture.add_request(1);
@@ -50,10 +50,10 @@
 
   EXPECT_EQ(fixture.emitted<Cancel>().size(), 1U);
   EXPECT_EQ(fixture.emitted<Reject>().size(), 1U);
-  EXPECT_TRUE(fixture.state.requests.contains(1)) << "its attempt is in flight still";
+  EXPECT_TRUE(fixture.state.requests.contains(1)) << "its attempt is still in flight";
 }
 
-TEST(RequestLifecycle, ForgettingARequestMakesTheNextOfItsKeyTheFirst) {
+TEST(RequestLifecycle, ErasingARequestMakesTheNextOfItsKeyTheFirst) {
   DecisionFixture fixture;
   for (const RequestId id : {1U, 2U}) {
     fixture.add_request(id).ordering_key = 7;
--- a/tests/decision/resource_grants_test.cpp
+++ b/tests/decision/resource_grants_test.cpp
@@ -32,8 +32,8 @@
   EXPECT_EQ(fixture.grants.priority_of(request), 0);
 }
 
-TEST(ResourceGrants, ThreadsOfLowerPriorityHardlyCompeteWhereEnginesHonourPriorities) {
-  Settings settings = test::small_site();
+TEST(ResourceGrants, ThreadsOfLowerPriorityCountInPartIfEnginesHonorPriorities) {
+  Settings settings = test::small_deployment();
   settings.engines_honor_priorities = true;
   DecisionFixture fixture(settings);
   Request& request = fixture.add_request(1);
@@ -46,8 +46,8 @@
   EXPECT_DOUBLE_EQ(fixture.grants.competing_threads(request), 16);
 }
 
-TEST(ResourceGrants, AGrantIsMadeOnlyWhereEnginesHonourIt) {
-  Settings settings = test::small_site();
+TEST(ResourceGrants, AGrantIsMadeOnlyIfEnginesHonorIt) {
+  Settings settings = test::small_deployment();
   settings.engines_honor_grants = true;
   DecisionFixture fixture(settings);
   DecisionFixture without_grants;
@@ -61,8 +61,8 @@
   EXPECT_FALSE(without_grants.grants.grant_for(without_grants.add_request(1), attempt).has_value());
 }
 
-TEST(ResourceGrants, UnannouncedMemoryIsBoundedWhereAShortageHarmsAll) {
-  Settings settings = test::small_site();
+TEST(ResourceGrants, UnannouncedMemoryIsBoundedIfEnginesOvercommit) {
+  Settings settings = test::small_deployment();
   settings.memory_shortage = MemoryShortage::overcommit;
   DecisionFixture fixture(settings);
   Request& request = fixture.add_request(1);
@@ -78,12 +78,12 @@
 }  // namespace
 }  // namespace paddlestand::decision
 
-// Checked on the whole manager.
+// Tests of the complete manager.
 namespace paddlestand::test {
 namespace {
 
 Settings with_memory_shortage(MemoryShortage shortage) {
-  Settings settings = small_site();
+  Settings settings = small_deployment();
   settings.instances = 10;
   settings.engines_honor_grants = true;
   settings.memory_shortage = shortage;
@@ -101,8 +101,9 @@
   return sent;
 }
 
-// Guards against memory that stays full: slowed requests hold it longer.
-TEST(MemoryBound, AManagersPartLimitsWhereAShortageHarmsAllThatRuns) {
+// Guards against memory that stays full: a shortage slows down all requests, so they hold their memory
+// longer.
+TEST(MemoryBound, AManagerStaysWithinItsShareUnlessEnginesQueueRequests) {
   const int with_queue = sent_of_ten_large_requests(MemoryShortage::queue);
   for (const MemoryShortage shortage : {MemoryShortage::overcommit, MemoryShortage::reduce_grant}) {
     const int sent = sent_of_ten_large_requests(shortage);
--- a/tests/decision/tenant_quota_test.cpp
+++ b/tests/decision/tenant_quota_test.cpp
@@ -8,26 +8,26 @@
 namespace {
 
 Settings with_tenant(double quota_per_s, std::uint32_t instances) {
-  Settings settings = test::small_site();
+  Settings settings = test::small_deployment();
   settings.instances = instances;
   settings.tenants = {{"tenant", quota_per_s}};
   return settings;
 }
 
 int consumed_at(TenantQuota& quota, double now) {
-  int within = 0;
-  while (quota.consume(0, now)) ++within;
-  return within;
+  int consumed = 0;
+  while (quota.consume(0, now)) ++consumed;
+  return consumed;
 }
 
-TEST(TenantQuota, ABurstOfOneSecondAndThreeRequestsIsWithinTheQuota) {
+TEST(TenantQuota, ABurstOfOneSecondsQuotaPlusThreeRequestsIsWithinTheQuota) {
   const Settings settings = with_tenant(10, 1);
   TenantQuota quota(settings);
 
   EXPECT_EQ(consumed_at(quota, 0), 13);
 }
 
-TEST(TenantQuota, TokensAreRefilledAtThisManagersPartOfTheRate) {
+TEST(TenantQuota, TokensAreRefilledAtThisManagersShareOfTheRate) {
   const Settings settings = with_tenant(10, 2);
   TenantQuota quota(settings);
 
