--- a/tests/platform/peers.hpp
+++ b/tests/platform/peers.hpp
@@ -1,5 +1,5 @@
-/// Peers of a platform server, for tests over loopback: engines and a command channel that do exactly what a
-/// test requests, byte by byte, and raw clients.
+/// Peers of a platform server for tests over loopback: engines, a command channel and raw clients that a test
+/// controls byte by byte.
 #pragma once
 
 #include <boost/json.hpp>
@@ -22,12 +22,12 @@
       : wire_(listener.accept(wait_ms)), reader_(engine_frames::Side::manager) {}
 
   [[nodiscard]] bool is_open() const { return wire_.is_open(); }
-  /// The next command, waited for; nothing at the end of the connection, or when none arrives.
+  /// Waits for the next command. Returns std::nullopt at the end of the connection or if none arrives.
   std::optional<engine_frames::Frame> next(int wait_ms = client_timeout_ms) {
     for (;;) {
       auto frame = reader_.next();
       if (auto* one = std::get_if<engine_frames::Frame>(&frame)) return std::move(*one);
-      if (std::holds_alternative<engine_frames::Broken>(frame)) {
+      if (std::holds_alternative<engine_frames::ProtocolViolation>(frame)) {
         ADD_FAILURE() << "a manager's frame can't be read";
         return std::nullopt;
       }
@@ -36,7 +36,7 @@
       reader_.feed(*bytes);
     }
   }
-  /// The next command that is complete by now; `ended` is set at the end of the connection.
+  /// Returns the next command if it has already arrived; sets `ended` at the end of the connection.
   std::optional<engine_frames::Frame> next_if_here(bool& ended) {
     for (;;) {
       auto frame = reader_.next();
@@ -55,14 +55,14 @@
   Wire& wire() { return wire_; }
   [[nodiscard]] bool has_input() const { return wire_.has_input(); }
 
-  std::set<std::uint64_t> ids;  ///< of the requests that arrived, where a test records them
+  std::set<std::uint64_t> ids;  ///< of the requests that arrived, if a test records them
 
  private:
   Wire wire_;
   engine_frames::FrameReader reader_;
 };
 
-/// A client that writes what a test requests.
+/// A client whose input is controlled by a test.
 class RawClient {
  public:
   explicit RawClient(std::uint16_t port) : wire_(Wire::connect(port)) {}
@@ -77,7 +77,7 @@
   }
   void send_request(int id, std::uint64_t trace) const { EXPECT_TRUE(wire_.write(request_line(id, trace))); }
 
-  /// The next line as JSON; null at the end of the connection, or when none arrives.
+  /// Waits for the next line of JSON. Returns null at the end of the connection or if none arrives.
   boost::json::value next(int wait_ms = client_timeout_ms) {
     for (;;) {
       const auto end = bytes_.find('\n');
@@ -128,7 +128,7 @@
   return record;
 }
 
-/// Two classes: `report` is idempotent, `load` with an idempotency key only.
+/// Two classes: `report` is idempotent, `load` only with an idempotency key.
 inline PlatformConfig test_config(std::vector<discovery::Record> engines, std::uint16_t discovery_server) {
   PlatformConfig config;
   config.name = "test";
@@ -175,7 +175,7 @@
   return config;
 }
 
-/// A configuration file to be reloaded, with another command channel.
+/// A configuration file for a reload, with another command channel.
 inline std::string config_text(std::uint16_t discovery_server) {
   return R"({"name":"n","listen":"127.0.0.1:1","seed":"1","channel":"127.0.0.1:)" +
          std::to_string(discovery_server) +
@@ -183,7 +183,7 @@
          R"("repeat":"pure"}],"permissions":{"multiplex":32,"conn_idle_ns":0,"dial_timeout_ns":0}}})";
 }
 
-/// A server on a thread of its own.
+/// A server on its own thread.
 class RunningServer : public Thread<PlatformServer> {
  public:
   explicit RunningServer(PlatformConfig config, std::string path = "")
@@ -225,7 +225,7 @@
 /// The command channel's end of a subscription.
 struct DiscoveryPeer {
   Wire wire;
-  std::uint64_t requested_after = 0;  ///< the number of the last event that the server has
+  std::uint64_t requested_after = 0;  ///< the number of the last event known to the server
   explicit DiscoveryPeer(const Listener& listener) : wire(listener.accept()) {
     std::string bytes;
     while (bytes.size() < 8) {
@@ -245,7 +245,7 @@
   }
 };
 
-/// A server before some engines and a command channel.
+/// A server with some engines and a command channel.
 class PlatformServerTest : public ::testing::Test {
  protected:
   explicit PlatformServerTest(std::size_t engines = 1) : engine_listeners_(engines) {}
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -1,5 +1,5 @@
-// The platform's host over real sockets, against peers that a test drives byte by byte. Rejections, closes
-// and corruption are caused here; no test depends on how long anything takes.
+// The platform server over real sockets, against peers that the tests drive byte by byte: rejections, closed
+// connections and corrupted answers. No test depends on timing.
 #include "peers.hpp"
 
 namespace paddlestand::platform::test {
@@ -22,7 +22,7 @@
   EXPECT_EQ(engine_frames::field(request->fields, "kind"), "load");
   EXPECT_EQ(engine_frames::field(request->fields, "token"), "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
-  const auto wait = engine_frames::count_in(engine_frames::field(request->fields, "ms").value_or(""));
+  const auto wait = engine_frames::parse_count(engine_frames::field(request->fields, "ms").value_or(""));
   EXPECT_TRUE(wait && *wait >= 1 && *wait <= 7000);
 
   engine.answer(0, 0x999, "", "not\tasked\tfor\n");  // under an unknown id
@@ -43,7 +43,7 @@
   ASSERT_TRUE(no_more);
   EXPECT_EQ(no_more->code, 7);
 
-  // Late duplicates have no effect, and the connection stays in use.
+  // Late duplicates have no effect, and the connection remains in use.
   engine.answer(9, 0xabc, "part_no=1", "d\te\tf\n");
   client.send_request(8, 0xabd);
   ASSERT_TRUE(engine.next());
@@ -52,7 +52,8 @@
   EXPECT_EQ(client.outcome(), "served:");
 }
 
-// Each spoils the first answer in its own way; the query is safe to repeat, and is served by the second.
+// Each case corrupts the first answer differently. The query is safe to repeat, so the second engine serves
+// it.
 TEST_F(TwoEngineTest, ACorruptedAnswerClosesItsConnectionAndIsNeverServed) {
   std::string good, longer;
   engine_frames::put_frame(good, engine_frames::Side::engine, 0, 0x51, "parts=1,work=9", "a\tb\tc\n");
@@ -131,7 +132,7 @@
   EXPECT_EQ(server.counts().sessions, 0U);
 }
 
-/// Input for which a client is rejected or closed, each in its own way.
+/// Inputs for which a client is rejected or its connection closed.
 std::vector<std::string> invalid_inputs() {
   const std::string good = RawClient::request_line(1, 0x500);
   std::string many;
@@ -163,7 +164,7 @@
     client.wire().write(bytes);
     EXPECT_TRUE(client.wire().is_closed_by_peer()) << bytes.substr(0, 80);
   }
-  // A client that sends half a request, and one that sends nothing at all.
+  // One client sends half a request, another sends nothing.
   RawClient half(port), silent_client(port);
   half.wire().write(good.substr(0, 40));
   EXPECT_TRUE(half.wire().is_closed_by_peer());
@@ -173,7 +174,7 @@
   EXPECT_FALSE(engine.is_open());
   EXPECT_EQ(server.counts().sessions, 0U);
 
-  // The usual ones are served meanwhile and after.
+  // Valid clients are served during and after this.
   RawClient regular_client(port);
   regular_client.send_request(1, 0x900);
   EnginePeer later_engine(engine_listeners_[0]);
