--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -1,6 +1,5 @@
-// Attempts at engines whose connections close, hang or are established late, on real connections: an attempt
-// that may have run is not retried where that would be unsafe, one that surely never ran is retried
-// elsewhere, and nothing leaks.
+// Attempts on real connections that close, hang or are established late: an attempt that may have run is not
+// retried if that is unsafe, one that certainly did not run is retried on another engine, and nothing leaks.
 #include "peers.hpp"
 
 namespace paddlestand::platform::test {
@@ -22,7 +21,7 @@
   }
 };
 
-// Each failure after which an attempt may have run: the client gets an error, and nothing is retried.
+// All failures after which an attempt may have run: the client gets an error, and there is no retry.
 TEST_F(AttemptTest, AnAttemptThatMayHaveRunIsNotRetriedForANonIdempotentRequest) {
   std::string good, corrupted;
   engine_frames::put_frame(good, engine_frames::Side::engine, 0, 0x51, "parts=2,work=9", "a\tb\tc\n");
@@ -59,7 +58,7 @@
   }
 }
 
-// Each answer by which it surely never ran: it is retried elsewhere, once.
+// All answers that guarantee that the attempt did not run: it is retried once on another engine.
 TEST_F(AttemptTest, AnAttemptThatNeverRanIsRetriedForANonIdempotentRequest) {
   for (const std::uint8_t code : {std::uint8_t{3}, std::uint8_t{5}}) {
     RunningServer server(non_idempotent_config());
@@ -87,8 +86,8 @@
   }
 }
 
-// One engine's connections are not established within the connect timeout. Requests that waited for one are
-// sent elsewhere; when it is established after all, nothing is sent on it and it does not stay open.
+// Connections to one engine are not established within the connect timeout. The requests waiting for them are
+// sent to another engine. A connection established later carries no request and is closed.
 TEST_F(AttemptTest, AConnectionEstablishedAfterItsTimeoutCarriesNoRequest) {
   FullListener late_listener;
   PlatformConfig settings = non_idempotent_config();
@@ -126,7 +125,8 @@
   }
 }
 
-// The engine begins to drain while a connection to it is opening: the waiting request is sent elsewhere.
+// The engine begins to drain while a connection to it is being opened: the waiting request is sent to another
+// engine.
 TEST_F(AttemptTest, DrainingDuringConnectSendsTheRequestToAnotherEngine) {
   FullListener opening;
   PlatformConfig settings = non_idempotent_config();
@@ -153,9 +153,9 @@
   EXPECT_EQ(server.counts().channels, 0U);
 }
 
-// ---- Hand-overs ----
+// ---- Reuse of connections ----
 
-// The engine closes a resting connection in the turn in which the next request is to go out on it.
+// The engine closes an idle connection in the same turn in which the next request would be sent on it.
 TEST_F(AttemptTest, ARequestIsNotSentOnAConnectionThatTheEngineHasClosed) {
   PlatformConfig settings = non_idempotent_config();
   settings.known[0].records.resize(1);
@@ -170,7 +170,7 @@
   idle_engine.answer(0, 0x81, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
 
-  // On the loop: both are there before it looks, the request's socket first.
+  // Runs on the event loop, so that both events have arrived before it polls, the request's socket first.
   server.run([&](PlatformServer&) {
     client.send_request(2, 0x82);
     idle_engine.wire().shut_down();
@@ -186,7 +186,7 @@
   EXPECT_FALSE(idle_engine.next(0));
 }
 
-// An answer and its connection's end in one read: it counts.
+// An answer and the end of its connection arrive in one read: the answer is served.
 TEST_F(AttemptTest, AnAnswerRightBeforeTheConnectionClosesIsServed) {
   RunningServer server(non_idempotent_config());
   RawClient client(server.port());
@@ -204,7 +204,8 @@
   EXPECT_TRUE(comes_true([&] { return server.engine_connections() == 0; }));
 }
 
-// A second copy of an answer, behind the next request on that connection: it is nobody's.
+// A duplicate of an answer arrives after the next request on the connection: it is not matched to any
+// request.
 TEST_F(AttemptTest, ADuplicateAnswerIsNotCreditedToTheNextRequest) {
   PlatformConfig settings = non_idempotent_config();
   settings.known[0].records.resize(1);
--- a/tests/platform/client_close_test.cpp
+++ b/tests/platform/client_close_test.cpp
@@ -1,6 +1,6 @@
-// How connections of clients end, from either side: pending output arrives, late input is not acted on, a
-// client that has disconnected costs nothing more. The peers force the order of events; no test depends on
-// how long anything takes.
+// Closing of client connections by either side: pending output is delivered, late input is not processed, and
+// a disconnected client causes no further work. The peers force the order of events; no test depends on
+// timing.
 #include "peers.hpp"
 
 namespace paddlestand::platform::test {
@@ -13,7 +13,7 @@
   std::vector<EnginePeer> idle_engines_;
 };
 
-// The manager decides on the end while bytes lie unread: closed over them, the connection would be reset.
+// The manager decides to close while input is unread. Closing the socket then would reset the connection.
 TEST_F(ClientCloseTest, AConnectionRejectedOverUnreadInputIsShutDownAndNotReset) {
   RunningServer server(config());
   RawClient client(server.port());
@@ -71,8 +71,8 @@
   EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
 }
 
-// Each read ends inside a message, for longer than one message may take; each message itself is completed
-// soon.
+// Every read ends inside a message for longer than the time limit of a message, but each message is completed
+// in time.
 TEST_F(ClientCloseTest, AClientWhoseReadsAllEndInsideAMessageIsServed) {
   RunningServer server(config());
   RawClient client(server.port());
@@ -95,7 +95,7 @@
   }
 }
 
-// A slow writer sends a byte now and then; silence and the duration of a message are limited.
+// A slow writer sends a few bytes at a time, within the limits for pauses and for the whole message.
 TEST_F(ClientCloseTest, ASlowWriterIsServed) {
   RunningServer server(config());
   RawClient client(server.port());
@@ -113,8 +113,8 @@
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
 }
 
-// The engine holds its connection back; the client leaves meanwhile, each way that there is. The one whose
-// request stands first is given up as well as the one that waits behind it.
+// The client disconnects, in every possible way, while the connection to the engine is being established.
+// Both the first request and one queued behind it are abandoned.
 TEST_F(ClientCloseTest, NothingIsSentForAClientThatDisconnectedDuringConnect) {
   PlatformConfig settings = config();
   settings.core.connect_timeout = 20s;
@@ -153,7 +153,7 @@
   EXPECT_EQ(waiting_client.outcome(), "served:a\tb\tc\n");
 }
 
-// Its request and its close are both there when the loop reads: no attempt is started for it.
+// The request and the close have both arrived when the event loop reads: no attempt is started.
 TEST_F(ClientCloseTest, NothingIsSentForAClientThatDisconnectedRightAfterItsRequest) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
@@ -180,8 +180,8 @@
   EXPECT_FALSE(EnginePeer(engine_listeners_[0], 0).is_open());
 }
 
-// Its answers stand unread; it takes back another request then. A client that is not read for its backlog
-// would not be heard, and its request would go on.
+// A client that does not read its answers cancels another request. If the manager stopped reading because of
+// the unread answers, it would miss the cancellation and the query would continue.
 TEST_F(ClientCloseTest, ACancellationIsReadBehindUnreadAnswers) {
   RunningServer server(config());
   RawClient client(server.port());
@@ -192,7 +192,7 @@
   EnginePeer held_engine(engine_listeners_[0]);
   ASSERT_TRUE(held_engine.next());
 
-  // Each 64 KB as a line; what is beyond the sockets' own buffers stands at the manager.
+  // Each answer is a line of 64 KB; what exceeds the socket buffers stays in the manager.
   int id = 1;
   std::vector<EnginePeer> sides;
   while (server.unread_bytes() < std::size_t{600} * 1024 && id < 200) {
@@ -222,8 +222,8 @@
   EXPECT_EQ(given_up->id, 0x51U);
 }
 
-// An answer, a cancellation, an invalid message and the client's close, all in one turn of the loop and in
-// every order: the server continues, holds nothing, and the next client is served.
+// An answer, a cancellation, an invalid message and the client's close in one turn of the event loop, in
+// every order: the server keeps running, releases all resources and serves the next client.
 TEST_F(ClientCloseTest, EventsOfOneTurnMayArriveInAnyOrder) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
@@ -264,8 +264,8 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// Silent clients fill the descriptors while the command channel is down. When it is back it is found, engines
-// are reached, and no more descriptors are held than allowed.
+// Silent clients use up the descriptors while the command channel is down. Once it is back, the manager
+// connects to it and to engines without exceeding the limit of descriptors.
 TEST_F(ClientCloseTest, IdleClientsDoNotExhaustDescriptorsForTheCommandChannelAndEngines) {
   PlatformConfig settings = config();
   settings.limits.descriptors = 128;
--- a/tests/platform/discovery_test.cpp
+++ b/tests/platform/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The command channel of a running server: events, reloads, generations of engines.
+// The command channel of a running server: events, reloads, successive engines at one address.
 #include "peers.hpp"
 
 namespace paddlestand::platform::test {
@@ -9,7 +9,7 @@
 using DiscoveryTest = PlatformServerTest;
 using DiscoveryOfTwoTest = TwoEngineTest;
 
-/// Serves so many requests of a client, on connections to one engine.
+/// Serves `requests` requests of a client, on connections to one engine.
 void serve_all(const Listener& listener, RawClient& client, int requests) {
   for (int i = 0; i < requests;) {
     EnginePeer engine(listener);
@@ -58,7 +58,7 @@
   third_peer.wire.write(half);
   EXPECT_TRUE(comes_true([&] { return server.last_event() == 3; }));
 
-  // The drained engine gets nothing; those at the other address, one id after the other, do.
+  // The drained engine gets no requests; the successive engines at the other address do.
   RawClient client(server.port());
   for (int i = 1; i <= 4; ++i) client.send_request(i, 0x100U + static_cast<unsigned>(i));
   ASSERT_NO_FATAL_FAILURE(serve_all(engine_listeners_[0], client, 4));
@@ -122,7 +122,7 @@
   ::unlink(path.c_str());
 }
 
-// New ids at one address, one after another, each with a request of its own.
+// Successive engine ids at one address, each with its own request.
 TEST_F(DiscoveryTest, GenerationsOfEnginesLeakNoChannelAndNoAddress) {
   RunningServer server(config());
   DiscoveryPeer discovery_peer(discovery_listener_);
@@ -149,7 +149,8 @@
   EXPECT_EQ(server.counts().sessions, 0U);
 }
 
-// The event arrives in the very turn in which the silence timeout fires: it is applied, or requested again.
+// The event arrives in the same turn of the event loop in which the silence timeout fires: it is applied or
+// requested again.
 TEST_F(DiscoveryOfTwoTest, AnEventDuringTheHeartbeatTimeoutIsNotLost) {
   RunningServer server(config());
   std::optional<DiscoveryPeer> discovery_peer;
--- a/tests/platform/graceful_shutdown_test.cpp
+++ b/tests/platform/graceful_shutdown_test.cpp
@@ -8,7 +8,7 @@
 
 using GracefulShutdownTest = PlatformServerTest;
 
-// The restarted one: its known events, no command channel.
+// A restarted server that has known events but no command channel.
 TEST_F(GracefulShutdownTest, AServerStartedWithoutACommandChannelIsReadyAndServes) {
   PlatformConfig settings = config();
   std::optional<Listener> closed_listener(std::in_place);
@@ -30,7 +30,8 @@
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
 }
 
-// SIGTERM while a reload waits for a file that can be read, the command channel is away and an engine hangs.
+// SIGTERM while a reload is retried because of an unreadable file, the command channel is down and an engine
+// hangs.
 TEST_F(GracefulShutdownTest, AShutdownDuringAReloadWithoutACommandChannelFinishes) {
   const std::string path = ::testing::TempDir() + "paddlestand-leave-" + std::to_string(::getpid()) + ".json";
   std::ofstream(path) << "{\"name\":";
@@ -62,7 +63,8 @@
   ::unlink(path.c_str());
 }
 
-// The kernel has accepted it and it has written; the loop has not seen it when the listener is closed.
+// The kernel has accepted the connection, with input, before the event loop sees it and the listener is
+// closed.
 TEST_F(GracefulShutdownTest, AConnectionNotYetSeenByTheLoopIsAcceptedWhenTheListenerCloses) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
@@ -85,8 +87,8 @@
   for (RawClient& client : clients) EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
 }
 
-// Just accepted for the loop, in the very turn in which the listener is closed. Where in the queue of the
-// loop that falls is the loop's affair: one of these turns is it.
+// The connection is accepted in the same turn of the event loop in which the listener is closed. The order of
+// handlers within a turn is up to the loop, so several turns are tried.
 TEST_F(GracefulShutdownTest, AConnectionAcceptedInTheTurnOfTheCloseIsServed) {
   for (int turns = 0; turns < 5; ++turns) {
     RunningServer server(config());
@@ -166,7 +168,7 @@
   EXPECT_EQ(grace_period(800ms, 0s), 3700ms);  // without a deadline it is the longest that counts
 }
 
-// Its client would wait beyond the kill and the engine hangs: it has to be answered before.
+// The client would wait until after SIGKILL and the engine hangs: the request must be answered before.
 TEST_F(GracefulShutdownTest, AHangingRequestWithAShortDeadlineIsAnsweredBeforeTheKill) {
   PlatformConfig settings = config();
   for (ClassSettings& class_settings : settings.core.module.classes) class_settings.deadline = 400ms;
--- a/tests/platform/manager_process.hpp
+++ b/tests/platform/manager_process.hpp
@@ -1,4 +1,4 @@
-/// A manager as a process of its own, for tests that must not share an event loop or a clock with it.
+/// A manager in a separate process, for tests that must not share an event loop or a clock with it.
 #pragma once
 
 #include <signal.h>
@@ -12,7 +12,7 @@
 
 namespace paddlestand::platform::test {
 
-/// The settings of one manager before some engines: three classes that differ in what a repeat may do.
+/// The settings of a manager with some engines: three classes that differ in idempotency.
 inline std::string process_config(const std::vector<std::uint16_t>& engines, std::uint16_t listen,
                                   std::uint16_t discovery_server, std::uint32_t max_descriptors = 256,
                                   std::uint32_t streams_per_connection = 8) {
@@ -50,11 +50,11 @@
          R"("tenants":[]}})";
 }
 
-/// Starts `paddlestand platform` and waits until it answers that it is ready; kills it at its end. Its log
-/// is on standard error and recorded.
+/// Starts `paddlestand platform` and waits until it reports that it is ready; kills it on destruction.
+/// Records its log, which it writes to standard error.
 class ManagerProcess {
  public:
-  /// `call_faults`: rules of tests/faults/call_faults.cpp, for its system calls; none where empty.
+  /// `call_faults`: rules of tests/faults/call_faults.cpp for its system calls; empty for none.
   ManagerProcess(const std::string& config, std::uint16_t port, const std::string& call_faults = "")
       : port_(port),
         folder_(std::filesystem::temp_directory_path() /
@@ -80,18 +80,18 @@
 
   [[nodiscard]] bool ready() const { return ready_; }
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  /// The process does not run until resume().
+  /// Suspends the process until resume().
   void stop() { ::kill(process_.id(), SIGSTOP); }
-  /// Asks it to shut down.
+  /// Requests a graceful shutdown.
   void terminate() { ::kill(process_.id(), SIGTERM); }
   void resume() { ::kill(process_.id(), SIGCONT); }
-  /// Whether it is stopped, by stop() or by itself.
+  /// Whether the process is stopped, by stop() or by itself.
   [[nodiscard]] bool is_stopped() const { return paddlestand::test::is_stopped(process_.id()); }
   [[nodiscard]] std::string log() const {
     std::ifstream in(folder_ / "log");
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  /// How many lines of the log have this event.
+  /// The number of log lines with this event.
   [[nodiscard]] std::size_t count_logged(const std::string& event) const {
     const std::string all = log(), wanted = "\"event\":\"" + event + "\"";
     std::size_t count = 0;
@@ -120,7 +120,7 @@
   bool ready_ = false;
 };
 
-/// A port that was free a moment ago.
+/// Returns a port that was free at the time of the call.
 inline std::uint16_t free_port() { return Listener().port(); }
 
 }  // namespace paddlestand::platform::test
--- a/tests/platform/output_buffer_test.cpp
+++ b/tests/platform/output_buffer_test.cpp
@@ -1,4 +1,4 @@
-// What waits to be written to a client, and which of it answers requests.
+// The buffer of unwritten lines of a client, and its count of unwritten answers.
 #include "platform/output_buffer.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   EXPECT_EQ(output.unwritten_answers(), 0U);
 }
 
-TEST(OutputBuffer, ANoticeIsALineAndNoAnswer) {
+TEST(OutputBuffer, ANoticeCountsAsLineButNotAsAnswer) {
   OutputBuffer output;
   output.text() += "done\n";
   output.append_finished(LineKind::notice);
--- a/tests/platform/server_lifecycle_test.cpp
+++ b/tests/platform/server_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The states of a server's life, and the transitions that are legal.
+// The states of a server and the legal transitions between them.
 #include "platform/server_lifecycle.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/platform/sockets.hpp
+++ b/tests/platform/sockets.hpp
@@ -1,4 +1,4 @@
-/// Sockets of the peers that tests drive, over loopback.
+/// Loopback sockets of the peers that tests control.
 #pragma once
 
 #include <arpa/inet.h>
@@ -21,7 +21,7 @@
 
 using namespace paddlestand::test;
 
-/// One connection of a peer, driven byte by byte. Owns its socket.
+/// One connection of a peer, controlled byte by byte. Owns its socket.
 class Wire {
  public:
   explicit Wire(int socket = -1) : socket_(socket) {}
@@ -48,13 +48,13 @@
     if (socket_ >= 0) ::close(socket_);
     socket_ = -1;
   }
-  /// Ends the connection by a reset.
+  /// Resets the connection.
   void reset() {
     const linger now{1, 0};
     ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
     close();
   }
-  /// False where the server has closed it meanwhile.
+  /// Returns false if the server has closed the connection.
   bool write(std::string_view bytes) const {
     while (!bytes.empty()) {
       const ssize_t sent = ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -63,7 +63,8 @@
     }
     return true;
   }
-  /// The bytes that are here, or arrive in time (empty: none did); nothing at the end of the connection.
+  /// Waits for bytes and returns them, or an empty string if none arrive in time. Returns std::nullopt at the
+  /// end of the connection.
   std::optional<std::string> read(int wait_ms = client_timeout_ms) const {
     pollfd one{socket_, POLLIN, 0};
     if (::poll(&one, 1, wait_ms) <= 0) return std::string{};
@@ -77,7 +78,7 @@
     pollfd one{socket_, POLLIN, 0};
     return ::poll(&one, 1, 0) > 0;
   }
-  /// Waits until the server ends the connection; false where it does not in time.
+  /// Waits until the server ends the connection. Returns false on a timeout.
   bool is_closed_by_peer() const {
     for (;;) {
       const auto more = read();
@@ -85,7 +86,7 @@
       if (more->empty()) return false;
     }
   }
-  /// Whether the server ends it by a shutdown: a reset might take the last answer with it.
+  /// Whether the server ends the connection by a shutdown; a reset could lose the last answer.
   bool is_shut_down_by_peer() const {
     const bool ended = is_closed_by_peer();
     char none{};
@@ -99,10 +100,10 @@
   mutable int errno_ = 0;
 };
 
-/// Where a server connects to a peer.
+/// Listens for connections from a server.
 class Listener {
  public:
-  /// `receive_buffer`: bytes of each accepted connection; zero: the system's choice.
+  /// `receive_buffer`: size in bytes for accepted connections; zero for the system default.
   explicit Listener(int backlog = 64, int receive_buffer = 0) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     if (receive_buffer > 0)
       ::setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof(receive_buffer));
@@ -120,7 +121,7 @@
   Listener& operator=(const Listener&) = delete;
 
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  /// The next connection, waited for; not open where none arrives.
+  /// Waits for the next connection. The result is not open if none arrives.
   Wire accept(int wait_ms = client_timeout_ms) const {
     pollfd one{socket_, POLLIN, 0};
     if (::poll(&one, 1, wait_ms) <= 0) return Wire{};
@@ -132,7 +133,7 @@
   std::uint16_t port_ = 0;
 };
 
-/// A listener whose queue is full: no connection to it is established until accept_all().
+/// A listener with a full backlog: no further connection is established until accept_all().
 class FullListener : public Listener {
  public:
   FullListener() : Listener(0) {
