--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -12,7 +12,7 @@
   PlatformConfig non_idempotent_config() {
     PlatformConfig settings = config();
     settings.core.module.classes[0].idempotency = Idempotency::non_idempotent;
-    settings.core.module.may_cancel = false;  // attempts stay out, however long a test takes
+    settings.core.module.may_cancel = false;  // attempts remain in progress regardless of timing
     return settings;
   }
   bool no_engine_is_connected() {
@@ -36,11 +36,11 @@
         engine.wire().write(good.substr(0, 20));
         engine.wire().close();
       },
-      [&](EnginePeer& engine) {  // one page of two
+      [&](EnginePeer& engine) {  // sends one of two pages
         engine.wire().write(good);
         engine.wire().close();
       },
-      [&](EnginePeer& engine) { engine.wire().write(good); },  // and the other page never arrives
+      [&](EnginePeer& engine) { engine.wire().write(good); },  // the second page never arrives
       [&](EnginePeer& engine) { engine.wire().write(good.substr(0, 20)); },
   };
 
--- a/tests/platform/client_close_test.cpp
+++ b/tests/platform/client_close_test.cpp
@@ -18,7 +18,7 @@
   RunningServer server(config());
   RawClient client(server.port());
 
-  client.wire().write(std::string(200'000, 'x'));  // read in parts of 64 KiB; too long at 96 KiB
+  client.wire().write(std::string(200'000, 'x'));  // read in steps of 64 KiB; rejected at 96 KiB
   EXPECT_EQ(client.outcome(), "error:-32600");
   EXPECT_TRUE(client.wire().is_shut_down_by_peer());
   EXPECT_FALSE(client.wire().was_reset());
@@ -34,7 +34,7 @@
   client.wire().write("noise\n");
   EXPECT_EQ(client.outcome(), "error:-32700");
   EXPECT_TRUE(client.wire().is_shut_down_by_peer());
-  EXPECT_TRUE(client.wire().write(RawClient::request_line(1, 0x21)));  // it crossed the shutdown
+  EXPECT_TRUE(client.wire().write(RawClient::request_line(1, 0x21)));  // sent after the shutdown
 
   RawClient regular_client(server.port());
   regular_client.send_request(1, 0x22);
@@ -81,7 +81,7 @@
 
   client.wire().write(remaining.substr(0, 10));
   remaining.erase(0, 10);
-  const int messages = 9;  // of 0.8 s each
+  const int messages = 9;  // 0.8 s each
   for (int id = 1; id <= messages; ++id) {
     std::this_thread::sleep_for(800ms);
     const std::string next = RawClient::request_line(id + 1, 0x301U + static_cast<unsigned>(id));
@@ -159,8 +159,8 @@
   const std::uint16_t port = server.port();
   RawClient closed_client(port), reset(port), regular_client(port);
 
-  for (RawClient* one : {&closed_client, &reset})
-    one->wire().write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n");
+  for (RawClient* client : {&closed_client, &reset})
+    client->wire().write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n");
   EXPECT_EQ(closed_client.outcome(), "done");
   EXPECT_EQ(reset.outcome(), "done");
 
@@ -182,7 +182,7 @@
 
 // A client that does not read its answers cancels another request. If the manager stopped reading because of
 // the unread answers, it would miss the cancellation and the query would continue.
-TEST_F(ClientCloseTest, ACancellationIsReadBehindUnreadAnswers) {
+TEST_F(ClientCloseTest, ACancellationIsReadDespiteUnreadAnswers) {
   RunningServer server(config());
   RawClient client(server.port());
   std::string page;
@@ -216,10 +216,10 @@
     EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 1; }));
   }
   client.wire().write(cancel_line(0x51));
-  const auto given_up = held_engine.next();
-  ASSERT_TRUE(given_up);
-  EXPECT_EQ(given_up->code, 2);
-  EXPECT_EQ(given_up->id, 0x51U);
+  const auto cancel = held_engine.next();
+  ASSERT_TRUE(cancel);
+  EXPECT_EQ(cancel->code, 2);
+  EXPECT_EQ(cancel->id, 0x51U);
 }
 
 // An answer, a cancellation, an invalid message and the client's close in one turn of the event loop, in
@@ -271,7 +271,7 @@
   settings.limits.descriptors = 128;
   std::optional<Listener> closed_listener(std::in_place);
   settings.discovery_endpoint.port = closed_listener->port();
-  closed_listener.reset();  // its port is nobody's
+  closed_listener.reset();  // the port is no longer in use
   const std::string path =
       ::testing::TempDir() + "paddlestand-silent-clients-" + std::to_string(::getpid()) + ".json";
   RunningServer server(std::move(settings), path);
--- a/tests/platform/discovery_events_test.cpp
+++ b/tests/platform/discovery_events_test.cpp
@@ -47,12 +47,13 @@
       for (auto next = reader.next(); !std::holds_alternative<std::monostate>(next); next = reader.next()) {
         order += std::holds_alternative<discovery::Heartbeat>(next) ? 'b' : 'e';
         ASSERT_FALSE(std::holds_alternative<discovery::ProtocolViolation>(next));
-        if (const auto* one = std::get_if<discovery::Event>(&next); one != nullptr && one->number == 42) {
-          ASSERT_EQ(one->records.size(), 1U);
-          EXPECT_EQ(one->records[0].entry.state, EngineState::draining);
-          EXPECT_EQ(one->records[0].entry.weight, 1.5);
-          EXPECT_EQ(one->records[0].entry.started, 1700000000123ms);
-          EXPECT_EQ(one->records[0].port, 4007);
+        if (const auto* list_change = std::get_if<discovery::Event>(&next);
+            list_change != nullptr && list_change->number == 42) {
+          ASSERT_EQ(list_change->records.size(), 1U);
+          EXPECT_EQ(list_change->records[0].entry.state, EngineState::draining);
+          EXPECT_EQ(list_change->records[0].entry.weight, 1.5);
+          EXPECT_EQ(list_change->records[0].entry.started, 1700000000123ms);
+          EXPECT_EQ(list_change->records[0].port, 4007);
         }
       }
     }
@@ -80,10 +81,10 @@
 
 TEST(EndpointList, ReportsWhichProcessesHaveEnded) {
   platform::EndpointList endpoints;
-  const auto ended_by = [&](const discovery::Event& one) {
+  const auto ended_by = [&](const discovery::Event& change) {
     core::EndpointsUpdated update;
     std::vector<EngineId> ended;
-    endpoints.apply(one, update, ended);
+    endpoints.apply(change, update, ended);
     endpoints.forget_removed();
     return ended;
   };
@@ -101,32 +102,32 @@
   restarted.number = 6;
   restarted.records[0].port ^= 1;
   EXPECT_EQ(ended_by(restarted), second) << "at another address";
-  EXPECT_EQ(ended_by(event(7, true, {4})), all) << "a whole list does not name them";
+  EXPECT_EQ(ended_by(event(7, true, {4})), all) << "not in the full list";
 }
 
 TEST(EndpointList, AppliesEachEventOnceAndReportsGaps) {
   platform::EndpointList endpoints;
-  const auto take = [&](const discovery::Event& one) {
+  const auto apply = [&](const discovery::Event& change) {
     core::EndpointsUpdated update;
     std::vector<EngineId> ended;
-    const auto result = endpoints.apply(one, update, ended);
+    const auto result = endpoints.apply(change, update, ended);
     return std::pair(result, update.engines.size());
   };
   using ApplyResult = platform::EndpointList::ApplyResult;
 
   EXPECT_EQ(
-      take(event(5, true, {1, 2})),
+      apply(event(5, true, {1, 2})),
       std::pair(ApplyResult::applied, std::size_t{2}));  // a full list does not depend on earlier events
-  EXPECT_EQ(take(event(5, true, {1, 2})), std::pair(ApplyResult::duplicate, std::size_t{0}));
-  EXPECT_EQ(take(event(7, false, {3})).first, ApplyResult::gap);
+  EXPECT_EQ(apply(event(5, true, {1, 2})), std::pair(ApplyResult::duplicate, std::size_t{0}));
+  EXPECT_EQ(apply(event(7, false, {3})).first, ApplyResult::gap);
   EXPECT_EQ(endpoints.last_event(), 5U);
-  EXPECT_EQ(take(event(6, false, {2}, EngineState::removed)).first, ApplyResult::applied);
+  EXPECT_EQ(apply(event(6, false, {2}, EngineState::removed)).first, ApplyResult::applied);
   ASSERT_TRUE(endpoints.address(2));
 
   endpoints.forget_removed();
   EXPECT_FALSE(endpoints.address(2));
   EXPECT_EQ(endpoints.address(1), (platform::Address{0x0a010009, 4001}));
-  EXPECT_EQ(take(event(7, true, {4})).first, ApplyResult::applied);
+  EXPECT_EQ(apply(event(7, true, {4})).first, ApplyResult::applied);
 
   endpoints.forget_removed();
   EXPECT_EQ(endpoints.size(), 1U);
--- a/tests/platform/discovery_test.cpp
+++ b/tests/platform/discovery_test.cpp
@@ -45,17 +45,17 @@
   DiscoveryPeer second_peer(discovery_listener_);
   EXPECT_EQ(second_peer.requested_after, 2U);
 
-  std::string half;
+  std::string partial_event;
   discovery::Event three;
   three.number = 3;
   three.records = {engine_record(3, engine_listeners_[0].port())};
-  discovery::put_event(half, three);
-  second_peer.wire.write(half.substr(0, 20));
-  second_peer.wire.close();  // in the middle of an event
+  discovery::put_event(partial_event, three);
+  second_peer.wire.write(partial_event.substr(0, 20));
+  second_peer.wire.close();  // within an event
   DiscoveryPeer third_peer(discovery_listener_);
   EXPECT_EQ(third_peer.requested_after, 2U);
 
-  third_peer.wire.write(half);
+  third_peer.wire.write(partial_event);
   EXPECT_TRUE(comes_true([&] { return server.last_event() == 3; }));
 
   // The drained engine gets no requests; the successive engines at the other address do.
@@ -79,10 +79,10 @@
   EnginePeer engine(engine_listeners_[0]);
   ASSERT_TRUE(engine.next());
 
-  std::ofstream(path) << "{\"name\":";  // half written
+  std::ofstream(path) << "{\"name\":";  // incomplete JSON
   server.reload();
   Listener new_listener;
-  std::ofstream(path) << config_text(new_listener.port());  // it is read again without another signal
+  std::ofstream(path) << config_text(new_listener.port());  // read by a retry, without another signal
   DiscoveryPeer next(new_listener);
   EXPECT_EQ(next.requested_after, 2U);
   EXPECT_TRUE(old_peer.wire.is_closed_by_peer());
@@ -91,7 +91,7 @@
     p.reload();
     p.reload();
     return 0;
-  });  // a signal behind a signal
+  });  // two reloads in a row
   DiscoveryPeer last(new_listener);
   EXPECT_EQ(last.requested_after, 2U);
 
@@ -105,7 +105,7 @@
   const std::string path = ::testing::TempDir() + "paddlestand-down-" + std::to_string(::getpid()) + ".json";
   PlatformConfig settings = config();
   {
-    Listener down;  // nobody listens on its port once it is closed
+    Listener down;  // its port refuses connections once it is closed
     settings.discovery_endpoint.port = down.port();
   }
   RunningServer server(std::move(settings), path);
@@ -123,7 +123,7 @@
 }
 
 // Successive engine ids at one address, each with its own request.
-TEST_F(DiscoveryTest, GenerationsOfEnginesLeakNoChannelAndNoAddress) {
+TEST_F(DiscoveryTest, SuccessiveEnginesLeakNoConnectionAndNoAddress) {
   RunningServer server(config());
   DiscoveryPeer discovery_peer(discovery_listener_);
   RawClient client(server.port());
@@ -134,7 +134,7 @@
     discovery_peer.send_event(++number, {engine_record(generation, engine_listeners_[0].port())});
     ASSERT_TRUE(comes_true([&] { return server.last_event() == number; }));
     client.send_request(static_cast<int>(generation), 0x4000U + generation);
-    EnginePeer engine(engine_listeners_[0]);  // a channel of its own: the last one's was another engine's
+    EnginePeer engine(engine_listeners_[0]);  // not the connection of the previous engine
     const auto request = engine.next();
     ASSERT_TRUE(request) << generation;
     engine.answer(0, request->id, "parts=1", "a\tb\tc\n");
@@ -157,7 +157,7 @@
 
   discovery_peer.emplace(discovery_listener_);
   server.run([&](PlatformServer&) {
-    std::this_thread::sleep_for(2300ms);  // beyond two beats
+    std::this_thread::sleep_for(2300ms);  // longer than the silence timeout
     discovery_peer->send_event(2, {engine_record(3, engine_listeners_[0].port())});
     return 0;
   });
--- a/tests/platform/engine_frames_test.cpp
+++ b/tests/platform/engine_frames_test.cpp
@@ -33,7 +33,7 @@
   engine_frames::put_cancel(empty, 1);
   EXPECT_EQ(empty, "\x80\x02\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00"s);
 
-  std::string check;  // CRC-32 (IEEE) of the published check string of nine digits
+  std::string check;  // the CRC-32 (IEEE) of "123456789" is published as a check value
   engine_frames::put_frame(check, Side::engine, 0, 1, "1234", "56789");
   EXPECT_EQ(check.substr(check.size() - 4), "\xcb\xf4\x39\x26"s);
 }
@@ -95,10 +95,10 @@
     EXPECT_TRUE(broken(corrupted)) << at;
   }
   const auto unreadable = [](std::uint8_t code, std::string_view fields) {
-    engine_frames::Frame one;
-    one.code = code;
-    one.fields = fields;
-    return std::holds_alternative<engine_frames::ProtocolViolation>(engine_frames::read_answer(one));
+    engine_frames::Frame incoming;
+    incoming.code = code;
+    incoming.fields = fields;
+    return std::holds_alternative<engine_frames::ProtocolViolation>(engine_frames::read_answer(incoming));
   };
   EXPECT_FALSE(unreadable(0, "work=1,unknown=x"));
 
--- a/tests/platform/graceful_shutdown_test.cpp
+++ b/tests/platform/graceful_shutdown_test.cpp
@@ -119,7 +119,7 @@
 
 TEST_F(GracefulShutdownTest, IdleConnectionsAreShutDownAndTheProcessEndsOnceTheyAreClosed) {
   PlatformConfig settings = config();
-  settings.core.module.may_cancel = false;  // the attempt stays out, however long the test takes
+  settings.core.module.may_cancel = false;  // the attempt remains in progress regardless of timing
   boost::asio::io_context io(1);
   PlatformServer platform(io, std::move(settings), "", false);
 
@@ -136,10 +136,10 @@
   boost::asio::post(io, [&] { platform.begin_shutdown(); });
   EXPECT_TRUE(idle_client.wire().is_shut_down_by_peer());
   EXPECT_TRUE(
-      idle_client.wire().write(RawClient::request_line(2, 0x82)));  // crosses the shutdown: never sent on
+      idle_client.wire().write(RawClient::request_line(2, 0x82)));  // after the shutdown: never forwarded
   EXPECT_TRUE(idle_client.wire().is_shut_down_by_peer());
 
-  active_client.send_request(2, 0x83);  // on a connection with an open request: rejected, not lost
+  active_client.send_request(2, 0x83);  // on a connection with an open request: rejected instead of lost
   EXPECT_EQ(active_client.outcome(), "error:-32001");
   EXPECT_EQ(active_client.last_id(), 2);
 
@@ -165,7 +165,7 @@
 
   EXPECT_EQ(grace_period(800ms, 1200ms), 1900ms);
   EXPECT_EQ(grace_period(800ms, 25s), 3700ms);
-  EXPECT_EQ(grace_period(800ms, 0s), 3700ms);  // without a deadline it is the longest that counts
+  EXPECT_EQ(grace_period(800ms, 0s), 3700ms);  // a class without a deadline counts with the maximum
 }
 
 // The client would wait until after SIGKILL and the engine hangs: the request must be answered before.
@@ -211,13 +211,13 @@
   ASSERT_TRUE(engine.next());
 
   begin_shutdown();
-  begin_shutdown();  // a second one changes nothing
+  begin_shutdown();  // has no effect the second time
   client.wire().write("{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"isWell\"}\n");
   const auto health = client.next();
   ASSERT_TRUE(health.is_object());
   EXPECT_FALSE(health.as_object().at("result").as_object().at("green").as_bool());
 
-  RawClient late_client(port);  // connections are still accepted for a while
+  RawClient late_client(port);  // connections are still accepted for a short period
   late_client.send_request(1, 0x901);
   EnginePeer other(engine_listeners_[0]);
   ASSERT_TRUE(other.next());
@@ -228,7 +228,7 @@
   engine.answer(0, 0x900, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
 
-  loop.join();  // by itself, once nothing is held
+  loop.join();  // ends by itself once all requests are answered
 }
 
 }  // namespace
--- a/tests/platform/jsonrpc_test.cpp
+++ b/tests/platform/jsonrpc_test.cpp
@@ -77,7 +77,7 @@
 
   EXPECT_EQ(tenant(R"(,"customer":"north-quay")"), 0U);
   EXPECT_EQ(tenant(R"(,"customer":"dry-dock-9")"), 1U);
-  EXPECT_EQ(tenant(""), 2U);  // none
+  EXPECT_EQ(tenant(""), 2U);  // no tenant
   EXPECT_EQ(tenant(R"(,"customer":"nobody")"), std::nullopt);
   EXPECT_EQ(tenant(R"(,"customer":1)"), std::nullopt);
 }
--- a/tests/platform/peers.hpp
+++ b/tests/platform/peers.hpp
@@ -236,11 +236,11 @@
     for (const char byte : bytes) requested_after = requested_after << 8U | static_cast<unsigned char>(byte);
   }
   void send_event(std::uint64_t number, std::vector<discovery::Record> records) const {
-    discovery::Event one;
-    one.number = number;
-    one.records = std::move(records);
+    discovery::Event event;
+    event.number = number;
+    event.records = std::move(records);
     std::string bytes;
-    discovery::put_event(bytes, one);
+    discovery::put_event(bytes, event);
     wire.write(bytes);
   }
 };
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -25,9 +25,9 @@
   const auto wait = engine_frames::parse_count(engine_frames::field(request->fields, "ms").value_or(""));
   EXPECT_TRUE(wait && *wait >= 1 && *wait <= 7000);
 
-  engine.answer(0, 0x999, "", "not\tasked\tfor\n");  // under an unknown id
+  engine.answer(0, 0x999, "", "not\tasked\tfor\n");  // with an unknown id
   engine.answer(0, 0xabc, "parts=3,work=20,peak=10", "a\tb\tc\n");
-  engine.answer(0, 0xabc, "parts=3,work=20,peak=10", "a\tb\tc\n");  // a second copy
+  engine.answer(0, 0xabc, "parts=3,work=20,peak=10", "a\tb\tc\n");  // a duplicate
   for (const char* page : {"1", "2"}) {
     const auto wanted = engine.next();
     ASSERT_TRUE(wanted);
@@ -114,14 +114,14 @@
   ASSERT_TRUE(engine.next());
 
   client.wire().write(cancel_line(0x61));
-  const auto given_up = engine.next();
-  ASSERT_TRUE(given_up);
-  EXPECT_EQ(given_up->code, 2);
-  EXPECT_EQ(given_up->id, 0x61U);
+  const auto cancel = engine.next();
+  ASSERT_TRUE(cancel);
+  EXPECT_EQ(cancel->code, 2);
+  EXPECT_EQ(cancel->id, 0x61U);
 
   engine.answer(0, 0x61, "parts=1", "late\t\t\n");
   client.send_request(2, 0x62);
-  EnginePeer other = accept_any_engine();  // not on the channel that may still say something
+  EnginePeer other = accept_any_engine();  // not the one with the cancelled stream
   const auto next = other.next();
   ASSERT_TRUE(next);
   EXPECT_EQ(next->id, 0x62U);
@@ -143,8 +143,8 @@
       std::string(200'000, 'x'),
       std::string(5000, '[') + "\n",
       good + "noise\n",  // a valid request followed by an invalid line
-      RawClient::request_line(1, 0x501) + RawClient::request_line(1, 0x502),  // two under one number
-      RawClient::request_line(1, 0x503) + RawClient::request_line(2, 0x503),  // two under one trace
+      RawClient::request_line(1, 0x501) + RawClient::request_line(1, 0x502),  // the same id twice
+      RawClient::request_line(1, 0x503) + RawClient::request_line(2, 0x503),  // the same trace id twice
       RawClient::request_line(0, 0x504),
       RawClient::request_line(1, 0x505, "no-class"),
       RawClient::request_line(1, 0x506, "report", R"(,"need_mb":-5)"),
@@ -165,9 +165,9 @@
     EXPECT_TRUE(client.wire().is_closed_by_peer()) << bytes.substr(0, 80);
   }
   // One client sends half a request, another sends nothing.
-  RawClient half(port), silent_client(port);
-  half.wire().write(good.substr(0, 40));
-  EXPECT_TRUE(half.wire().is_closed_by_peer());
+  RawClient incomplete_client(port), silent_client(port);
+  incomplete_client.wire().write(good.substr(0, 40));
+  EXPECT_TRUE(incomplete_client.wire().is_closed_by_peer());
   EXPECT_TRUE(silent_client.wire().is_closed_by_peer());
 
   EnginePeer engine(engine_listeners_[0], 0);
@@ -198,7 +198,7 @@
       cancelled_requests.substr(0, cancelled_requests.find('\n', cancelled_requests.find("forget")) + 1));
   EXPECT_EQ(cancelling.outcome(), "error:-32001");
 
-  RawClient flood(server.port());  // forgets of what is not open make no room for more than 32
+  RawClient flood(server.port());  // cancelling requests that are not open does not raise the limit of 32
   flood.wire().write(unknown);
   EXPECT_EQ(flood.outcome(), "error:-32001");
   EXPECT_TRUE(flood.wire().is_closed_by_peer());
@@ -208,7 +208,7 @@
 
 TEST_F(PlatformServerTest, StatementsOfOpenRequestsAreBoundedTogether) {
   PlatformConfig settings = config();
-  settings.limits.memory_mb = 1;  // 128 KiB of statements
+  settings.limits.memory_mb = 1;  // allows 128 KiB of statements
   RunningServer server(std::move(settings));
   const std::string large = "\"content\":\"" + base64("SELECT '" + std::string(60'000, 'x') + "'") + "\"";
   const auto line = [&](std::uint64_t trace) {
@@ -232,7 +232,7 @@
   one.answer(0, 0x31, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(first.outcome(), "served:a\tb\tc\n");
 
-  RawClient fourth(server.port());  // there is room again
+  RawClient fourth(server.port());  // capacity is available again
   fourth.wire().write(line(0x34));
   ASSERT_TRUE(one.next());
 
@@ -281,12 +281,12 @@
   engine.answer(0, 0x900, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(regular_client.outcome(), "served:a\tb\tc\n");
 
-  for (RawClient& one : silent_clients) EXPECT_TRUE(one.wire().is_closed_by_peer());
+  for (RawClient& client : silent_clients) EXPECT_TRUE(client.wire().is_closed_by_peer());
 }
 
 TEST_F(PlatformServerTest, AClientThatReadsNothingIsClosedAndReleasesItsResources) {
   PlatformConfig settings = config();
-  settings.limits.memory_mb = 4;  // half a megabyte of unread answers, beside the sockets' own buffers
+  settings.limits.memory_mb = 4;  // allows 512 KiB of unread answers, besides the socket buffers
   RunningServer server(std::move(settings));
   RawClient non_reading_client(server.port());
   std::string page;
@@ -299,7 +299,7 @@
     if (!engine.is_open()) engine = EnginePeer(engine_listeners_[0]);
     auto command = engine.next(200);
     while (command && command->code != 1) command = engine.next(200);
-    if (!command) break;  // it is not read any more
+    if (!command) break;  // the server no longer requests pages
     engine.answer(0, command->id, "parts=8", page);
     for (int number = 1; number < 8; ++number)
       engine.answer(9, command->id, "part_no=" + std::to_string(number), page);
--- a/tests/platform/sockets.hpp
+++ b/tests/platform/sockets.hpp
@@ -66,8 +66,8 @@
   /// Waits for bytes and returns them, or an empty string if none arrive in time. Returns std::nullopt at the
   /// end of the connection.
   std::optional<std::string> read(int wait_ms = client_timeout_ms) const {
-    pollfd one{socket_, POLLIN, 0};
-    if (::poll(&one, 1, wait_ms) <= 0) return std::string{};
+    pollfd poll_entry{socket_, POLLIN, 0};
+    if (::poll(&poll_entry, 1, wait_ms) <= 0) return std::string{};
     char part[65536];
     const ssize_t got = ::recv(socket_, part, sizeof(part), 0);
     if (got < 0) errno_ = errno;
@@ -75,8 +75,8 @@
     return std::string(part, static_cast<std::size_t>(got));
   }
   [[nodiscard]] bool has_input() const {
-    pollfd one{socket_, POLLIN, 0};
-    return ::poll(&one, 1, 0) > 0;
+    pollfd poll_entry{socket_, POLLIN, 0};
+    return ::poll(&poll_entry, 1, 0) > 0;
   }
   /// Waits until the server ends the connection. Returns false on a timeout.
   bool is_closed_by_peer() const {
@@ -123,8 +123,8 @@
   [[nodiscard]] std::uint16_t port() const { return port_; }
   /// Waits for the next connection. The result is not open if none arrives.
   Wire accept(int wait_ms = client_timeout_ms) const {
-    pollfd one{socket_, POLLIN, 0};
-    if (::poll(&one, 1, wait_ms) <= 0) return Wire{};
+    pollfd poll_entry{socket_, POLLIN, 0};
+    if (::poll(&poll_entry, 1, wait_ms) <= 0) return Wire{};
     return Wire{::accept(socket_, nullptr, nullptr)};
   }
 
@@ -138,18 +138,18 @@
  public:
   FullListener() : Listener(0) {
     for (;;) {
-      const int one = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+      const int filler = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
       sockaddr_in at{};
       at.sin_family = AF_INET;
       at.sin_port = htons(port());
       at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-      ::connect(one, reinterpret_cast<sockaddr*>(&at), sizeof(at));
-      pollfd up{one, POLLOUT, 0};
+      ::connect(filler, reinterpret_cast<sockaddr*>(&at), sizeof(at));
+      pollfd up{filler, POLLOUT, 0};
       if (::poll(&up, 1, 300) <= 0) {
-        ::close(one);
+        ::close(filler);
         return;
       }
-      fillers_.emplace_back(one);
+      fillers_.emplace_back(filler);
     }
   }
   void accept_all() {
