--- a/fuzz/pg_engine.cpp
+++ b/fuzz/pg_engine.cpp
@@ -15,15 +15,15 @@
 bool append_event(std::string& output, const pg::BackendEvent& event) {
   if (std::holds_alternative<pg::BackendReady>(event)) {
     output += "ready\n";
-  } else if (std::holds_alternative<pg::BackendRefused>(event)) {
+  } else if (std::holds_alternative<pg::BackendLoginRejected>(event)) {
     output += "refused\n";
     return false;
-  } else if (const auto* broken = std::get_if<pg::BackendBroken>(&event)) {
+  } else if (const auto* broken = std::get_if<pg::BackendProtocolError>(&event)) {
     output += "broken " + broken->what + "\n";
     return false;
   } else if (const auto* end = std::get_if<pg::BackendAnswerEnd>(&event)) {
     output += "end " + std::to_string(static_cast<int>(end->ending)) + (end->reusable ? "r" : "") +
-              std::to_string(end->parses_shown) + end->error_code + "\n";
+              std::to_string(end->client_parses_completed) + end->error_code + "\n";
   } else if (const auto* progress = std::get_if<pg::BackendProgress>(&event)) {
     output += "progress " + std::to_string(static_cast<int>(progress->kind)) + "\n";
   }
--- a/fuzz/pg_front.cpp
+++ b/fuzz/pg_front.cpp
@@ -30,7 +30,7 @@
     return;
   }
   pg::BackendAnswerEnd end;
-  end.parses_shown = static_cast<std::uint32_t>(request.query.parse_shown.size());
+  end.client_parses_completed = static_cast<std::uint32_t>(request.query.parse_from_client.size());
   session.request_done(end);
 }
 
--- a/simulation/scenario/client_connection.cpp
+++ b/simulation/scenario/client_connection.cpp
@@ -111,7 +111,7 @@
                                 asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
   std::string bytes;
-  pg::put_cancel(bytes, {process, secret});
+  pg::put_cancel_request(bytes, {process, secret});
   co_await asio::async_write(socket, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
   std::array<char, 8> unused{};
--- a/src/protocol/pg/backend_connection.cpp
+++ b/src/protocol/pg/backend_connection.cpp
@@ -11,18 +11,18 @@
 namespace paddlestand::pg {
 namespace {
 
-// Messages up to this size are buffered until they are complete. Larger ones of an answer are passed through
-// as they arrive, so that a row of a gigabyte takes no memory; those that are parsed here are never that
-// large.
+// Messages up to this size are buffered until they are complete. Larger messages of an answer are passed
+// through as they arrive, so that a row of a gigabyte needs no buffer of that size. Messages that are parsed
+// here are never that large.
 constexpr std::size_t max_buffered_message = std::size_t{64} * 1024;
 constexpr std::size_t header_bytes = 5;  // type and length
-constexpr std::uint32_t length_bytes = 4;  // which the length counts
-constexpr std::uint32_t max_length = 0x40000000;  // PostgreSQL's own bound: a gigabyte
+constexpr std::uint32_t length_bytes = 4;  // included in the length
+constexpr std::uint32_t max_length = 0x40000000;  // PostgreSQL's limit: one gigabyte
 constexpr double max_work_ms = 1e12;
 constexpr double nanoseconds_per_ms = 1e6;
-constexpr std::string_view engine_notice = "01P5T";  // the SQLSTATE of notices about the query in flight
+constexpr std::string_view engine_notice = "01P5T";  // SQLSTATE of notices about the query in flight
 
-/// The length that a message announces, its header complete.
+/// The length in the header of a message; the header must be complete.
 std::uint32_t announced_length(std::string_view message) { return Reader(message.substr(1)).u32(); }
 
 std::size_t message_size(std::uint32_t length) { return header_bytes - length_bytes + length; }
@@ -41,7 +41,7 @@
   return Duration{std::llround(*milliseconds * nanoseconds_per_ms)};
 }
 
-/// As a string literal of SQL.
+/// Formats a value as an SQL string literal.
 std::string quoted(std::string_view value) {
   std::string literal = "'";
   for (const char character : value) {
@@ -52,7 +52,7 @@
   return literal;
 }
 
-/// The settings that give a query its priority and its memory.
+/// The settings for a query's resource grant.
 std::map<std::string, std::string> grant_settings(std::uint8_t priority, double memory_mb) {
   std::map<std::string, std::string> settings;
   settings["paddlestand.priority"] = std::to_string(priority);
@@ -60,7 +60,7 @@
   return settings;
 }
 
-/// The bytes of the complete rows at the beginning.
+/// The size of the complete DataRow messages at the beginning of `bytes`.
 std::size_t leading_rows(std::string_view bytes) {
   std::size_t rows = 0;
   while (rows + header_bytes <= bytes.size() && bytes[rows] == backend_message::data_row) {
@@ -74,11 +74,11 @@
 }  // namespace
 
 std::string settings_change(const std::map<std::string, std::string>& current,
-                            const std::map<std::string, std::string>& wanted) {
+                            const std::map<std::string, std::string>& target) {
   std::string statements;
   for (const auto& [name, value] : current)
-    if (!wanted.contains(name)) statements += "RESET " + name + ";";
-  for (const auto& [name, value] : wanted) {
+    if (!target.contains(name)) statements += "RESET " + name + ";";
+  for (const auto& [name, value] : target) {
     const auto found = current.find(name);
     if (found == current.end() || found->second != value)
       statements += "SET " + name + "=" + quoted(value) + ";";
@@ -97,19 +97,20 @@
   return bytes;
 }
 
-std::string BackendConnection::flight(const EngineQuery& query, std::uint8_t priority, double memory_mb) {
-  auto wanted = grant_settings(priority, memory_mb);
-  for (const auto& [name, value] : query.settings) wanted.emplace(name, value);
-  const std::string change = settings_change(settings_, wanted);
+std::string BackendConnection::encode_query(const EngineQuery& query, std::uint8_t priority,
+                                            double memory_mb) {
+  auto target = grant_settings(priority, memory_mb);
+  for (const auto& [name, value] : query.settings) target.emplace(name, value);
+  const std::string change = settings_change(settings_, target);
   std::string bytes;
   if (!change.empty()) {
     bytes.reserve(change.size() + query.bytes.size() + header_bytes + 1);
     put_query(bytes, change);
-    settings_ = std::move(wanted);
+    settings_ = std::move(target);
   }
   bytes += query.bytes;
   begin_answer(change.empty() ? State::answering : State::setting);
-  parse_shown_ = query.parse_shown;
+  parse_from_client_ = query.parse_from_client;
   return bytes;
 }
 
@@ -122,7 +123,7 @@
 
 void BackendConnection::begin_answer(State state) {
   state_ = state;
-  parse_shown_.clear();
+  parse_from_client_.clear();
   parses_completed_ = 0;
   has_rows_ = false;
   end_ = {};
@@ -130,21 +131,21 @@
 
 // ---- From the engine ----
 
-void BackendConnection::break_off(std::string reason, Events& events) {
+void BackendConnection::report_protocol_error(std::string reason, Events& events) {
   if (state_ == State::broken) return;
   state_ = State::broken;
   buffer_.clear();
-  events.emplace_back(BackendBroken{std::move(reason)});
+  events.emplace_back(BackendProtocolError{std::move(reason)});
 }
 
 void BackendConnection::feed(std::string_view bytes, Events& events, std::string& reply) {
   const std::size_t answer_before = answer_.size();
   const std::size_t events_before = events.size();
-  // A message that began earlier is completed first; those behind it are read without copying them.
+  // Completes a buffered partial message first; the messages after it are read without copying.
   while (!buffer_.empty() && !bytes.empty() && state_ != State::broken) {
-    const std::size_t wanted =
+    const std::size_t required_bytes =
         buffer_.size() < header_bytes ? header_bytes : message_size(announced_length(buffer_));
-    const std::size_t part = std::min(wanted - buffer_.size(), bytes.size());
+    const std::size_t part = std::min(required_bytes - buffer_.size(), bytes.size());
     buffer_.append(bytes.substr(0, part));
     bytes.remove_prefix(part);
     std::string message;
@@ -159,7 +160,7 @@
   if (!has_ended && answer_.size() > answer_before) events.emplace_back(BackendAnswerPart{});
 }
 
-/// Handles the complete messages, and buffers what follows them.
+/// Handles the complete messages and buffers a partial one after them.
 void BackendConnection::split(std::string_view bytes, Events& events, std::string& reply) {
   while (!bytes.empty() && state_ != State::broken) {
     if (pass_through(bytes)) continue;
@@ -167,13 +168,13 @@
     const char type = bytes[0];
     const std::uint32_t length = announced_length(bytes);
     if (length < length_bytes || length > max_length) {
-      break_off("impossible length " + std::to_string(length), events);
+      report_protocol_error("invalid message length " + std::to_string(length), events);
       return;
     }
     const std::size_t size = message_size(length);
     if (bytes.size() < size && size > max_buffered_message) {
       if (begin_pass_through(type, size)) continue;
-      break_off("message of " + std::to_string(length) + " bytes where none so large belongs", events);
+      report_protocol_error("unexpected message of " + std::to_string(length) + " bytes", events);
       return;
     }
     if (bytes.size() < size) break;
@@ -184,7 +185,7 @@
 }
 
 /// Moves the beginning of `bytes` to the answer if it needs no parsing: part of a large message, or rows,
-/// which are by far the most of what arrives. False where there is none.
+/// which make up most of the input. Returns false if nothing was moved.
 bool BackendConnection::pass_through(std::string_view& bytes) {
   std::size_t count = 0;
   if (pass_through_bytes_ > 0) {
@@ -199,7 +200,8 @@
   return count > 0;
 }
 
-/// Begins to pass through a message too large to be buffered; false where it can't be part of an answer.
+/// Starts to pass through a message that is too large to be buffered. Returns false if it can't be part of an
+/// answer.
 bool BackendConnection::begin_pass_through(char type, std::size_t message_bytes) {
   const bool may_be_large = type == backend_message::data_row || type == backend_message::row_description ||
                             type == backend_message::copy_data;
@@ -224,12 +226,12 @@
     case backend_message::parameter_status: on_parameter_status(body); break;
     case backend_message::notice_response:
     case backend_message::notification_response:
-    case backend_message::error_response: break;  // an error is sent before the engine closes
-    default: break_off(std::string("message '") + type + "' on an idle link", events);
+    case backend_message::error_response: break;  // sent before the engine closes the connection
+    default: report_protocol_error(std::string("message '") + type + "' on an idle connection", events);
   }
 }
 
-/// An engine that rejects a setting does without it: the query runs all the same.
+/// Errors are ignored: if the engine rejects a setting, the query runs without it.
 void BackendConnection::on_setting_answer(char type, std::string_view body) {
   if (type == backend_message::ready_for_query) state_ = State::answering;
   if (type == backend_message::parameter_status) on_parameter_status(body);
@@ -243,7 +245,7 @@
     case backend_message::backend_key_data: {
       Reader reader(body);
       key_ = {reader.u32(), reader.u32()};
-      if (!reader.done()) break_off("BackendKeyData of a wrong length", events);
+      if (!reader.done()) report_protocol_error("BackendKeyData has a wrong length", events);
       return;
     }
     case backend_message::parameter_status: on_parameter_status(body); return;
@@ -251,10 +253,10 @@
     case backend_message::error_response: {
       const auto fields = parse_fields(body);
       if (!fields) {
-        break_off("malformed ErrorResponse", events);
+        report_protocol_error("malformed ErrorResponse", events);
         return;
       }
-      events.emplace_back(BackendRefused{startup_says_full(fields->code), *fields});
+      events.emplace_back(BackendLoginRejected{is_capacity_error(fields->code), *fields});
       state_ = State::broken;
       return;
     }
@@ -262,7 +264,7 @@
       state_ = State::idle;
       events.emplace_back(BackendReady{});
       return;
-    default: break_off(std::string("message '") + type + "' during startup", events);
+    default: report_protocol_error(std::string("message '") + type + "' during startup", events);
   }
 }
 
@@ -272,7 +274,7 @@
   if (code == authentication::ok) return;
   if (code == authentication::sasl && !login_.password.empty() && body.find(scram_mechanism) != body.npos) {
     scram_.emplace(login_.password, login_.nonce);
-    put_sasl_first(reply, scram_mechanism, scram_->first());
+    put_sasl_initial_response(reply, scram_mechanism, scram_->first());
     return;
   }
   if (code == authentication::sasl_continue && scram_) {
@@ -282,7 +284,7 @@
     }
   }
   if (code == authentication::sasl_final && scram_ && scram_->verify(reader.remaining_bytes())) return;
-  break_off("authentication " + std::to_string(code) + " is not carried, or failed", events);
+  report_protocol_error("authentication " + std::to_string(code) + " is not supported or failed", events);
 }
 
 // ---- Answers ----
@@ -309,26 +311,26 @@
     case backend_message::parameter_status: on_parameter_status(body); break;
     case backend_message::notification_response: break;  // LISTEN is not supported
     case backend_message::ready_for_query: on_ready(body, events); break;
-    default: break_off(std::string("message '") + type + "' in an answer", events);
+    default: report_protocol_error(std::string("message '") + type + "' in an answer", events);
   }
 }
 
 void BackendConnection::on_parse_complete(std::string_view body, Events& events) {
-  if (parses_completed_ >= parse_shown_.size()) {
-    break_off("ParseComplete that no Parse asked for", events);
+  if (parses_completed_ >= parse_from_client_.size()) {
+    report_protocol_error("ParseComplete without a Parse message", events);
     return;
   }
-  const bool is_shown = parse_shown_[parses_completed_];
+  const bool is_from_client = parse_from_client_[parses_completed_];
   ++parses_completed_;
-  if (!is_shown) return;
-  ++end_.parses_shown;
+  if (!is_from_client) return;
+  ++end_.client_parses_completed;
   put_raw(answer_, backend_message::parse_complete, body);
 }
 
 void BackendConnection::on_error(std::string_view body, Events& events) {
   const auto fields = parse_fields(body);
   if (!fields) {
-    break_off("malformed ErrorResponse", events);
+    report_protocol_error("malformed ErrorResponse", events);
     return;
   }
   end_.ending = ending_of_error(fields->code, has_rows_);
@@ -338,7 +340,7 @@
 
 void BackendConnection::on_ready(std::string_view body, Events& events) {
   if (body.size() != 1) {
-    break_off("ReadyForQuery of a wrong length", events);
+    report_protocol_error("ReadyForQuery has a wrong length", events);
     return;
   }
   end_.reusable = body[0] == transaction_idle;
@@ -347,8 +349,8 @@
   end_ = {};
 }
 
-/// Reads the parameters by which an engine reports its load and what the query needed. Others are not for the
-/// client: the manager answers for all parameters of its session.
+/// Reads the parameters with which an engine reports its load and the resources that the query used. No
+/// parameter is forwarded: the manager reports all parameters of the client's session itself.
 void BackendConnection::on_parameter_status(std::string_view body) {
   Reader reader(body);
   const std::string_view name = reader.text();
@@ -363,7 +365,7 @@
   }
 }
 
-/// Whether the notice was about the query in flight, and not for the client.
+/// Handles a progress notice. Returns false for any other notice, which is for the client.
 bool BackendConnection::on_engine_notice(std::string_view body, Events& events) {
   const auto fields = parse_fields(body);
   if (!fields || fields->code != engine_notice) return false;
--- a/src/protocol/pg/backend_connection.hpp
+++ b/src/protocol/pg/backend_connection.hpp
@@ -1,6 +1,6 @@
-/// The manager's side of a connection to an engine, without I/O (chapter 55.2 of PostgreSQL's manual): login,
-/// one query at a time, and its answer, split into what the client gets, byte for byte, and what the core is
-/// notified of.
+/// The manager's side of a connection to an engine, without I/O (chapter 55.2 of PostgreSQL's manual): login
+/// and one query at a time. An answer is split into the bytes for the client, which are passed on unchanged,
+/// and events for the core.
 #pragma once
 
 #include <deque>
@@ -21,67 +21,67 @@
 struct EngineQuery {
   std::string bytes;  ///< a Query message, or the messages of an extended batch, Sync included
   std::vector<bool>
-      parse_shown;  ///< for each Parse in it: whether the client sent it, and gets its ParseComplete
+      parse_from_client;  ///< for each Parse: whether the client sent it and receives its ParseComplete
   std::map<std::string, std::string>
-      settings;  ///< of the session, where they differ from the engine's defaults
+      settings;  ///< the session's settings that differ from the engine's defaults
 };
 
 struct BackendReady {};  ///< logged in
 /// The engine rejected the login.
-struct BackendRefused {
-  bool full = false;  ///< for want of capacity
+struct BackendLoginRejected {
+  bool full = false;  ///< the engine has no capacity
   Fields error;
 };
-/// The engine violated the protocol: the connection can't be used any more.
-struct BackendBroken {
+/// The engine violated the protocol: the connection is no longer usable.
+struct BackendProtocolError {
   std::string what;
 };
 struct BackendAnswerPart {};  ///< answer() holds more bytes
 /// ReadyForQuery: the answer is complete.
 struct BackendAnswerEnd {
   core::Ending ending{};
-  bool reusable = true;  ///< no transaction was left open
-  std::optional<Duration> work;  ///< execution time, as the engine reports it
+  bool reusable = true;  ///< no transaction is open
+  std::optional<Duration> work;  ///< execution time reported by the engine
   std::optional<double> memory_mb;
   LoadReport report;
-  std::uint32_t parses_shown = 0;  ///< ParseComplete messages for Parse messages of the client
+  std::uint32_t client_parses_completed = 0;  ///< number of completed Parse messages that the client sent
   std::string error_code;  ///< SQLSTATE of the engine's error; empty where there was none
 };
-/// A notice of the engine about the query in flight.
+/// A progress report of the engine about the query in flight.
 struct BackendProgress {
   ProgressKind kind{};
   double level{};
 };
-using BackendEvent = std::variant<BackendReady, BackendRefused, BackendBroken, BackendAnswerPart,
+using BackendEvent = std::variant<BackendReady, BackendLoginRejected, BackendProtocolError, BackendAnswerPart,
                                   BackendAnswerEnd, BackendProgress>;
 
-/// What a connection logs in with; an empty password: none is sent.
+/// The login of a connection. With an empty password none is sent.
 struct EngineLogin {
   std::string user, database, application, password;
   std::string nonce;  ///< for SCRAM: random, used once
 };
 
-/// One connection. The host writes the bytes returned, and feeds what it reads.
+/// The state of one connection. The host writes the returned bytes, and feeds the bytes that it reads.
 class BackendConnection {
  public:
   BackendConnection() = default;
 
-  /// The StartupMessage, to be written first.
+  /// Returns the StartupMessage, to be written first.
   std::string start(EngineLogin login);
 
-  /// The bytes that send a query to the engine, its connection idle: the resource grant (`memory_mb`: zero
-  /// leaves it to the engine) and the settings where they differ from what the connection has set, then the
-  /// query.
-  std::string flight(const EngineQuery& query, std::uint8_t priority, double memory_mb);
-  /// The bytes of a health check: an empty query.
+  /// Returns the bytes that send a query over an idle connection: changes of the resource grant and of the
+  /// settings if they differ from those set on the connection, then the query. `memory_mb`: zero leaves the
+  /// memory to the engine.
+  std::string encode_query(const EngineQuery& query, std::uint8_t priority, double memory_mb);
+  /// Returns the bytes of a health check, an empty query.
   std::string probe();
 
-  /// Handles bytes from the engine: appends their events to `events`, and bytes to be written back during the
-  /// login to `reply`.
+  /// Handles bytes from the engine: appends events to `events`, and bytes to be sent during the login to
+  /// `reply`.
   void feed(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply);
 
   [[nodiscard]] CancelKey key() const { return key_; }
-  /// Bytes of the answer for the client, to be taken by the host.
+  /// Bytes of the answer for the client; the host moves or clears them.
   std::string& answer() { return answer_; }
   /// Whether the last message of the answer so far is incomplete.
   [[nodiscard]] bool mid_message() const { return pass_through_bytes_ > 0; }
@@ -92,7 +92,7 @@
   enum class State : std::uint8_t {
     starting,  ///< login
     idle,
-    setting,  ///< SET and RESET ahead of the query are being answered
+    setting,  ///< the SET and RESET statements before the query are being answered
     answering,
     broken
   };
@@ -112,25 +112,25 @@
   void on_ready(std::string_view body, Events& events);
   void on_parameter_status(std::string_view body);
   bool on_engine_notice(std::string_view body, Events& events);
-  void break_off(std::string reason, Events& events);
+  void report_protocol_error(std::string reason, Events& events);
 
   State state_ = State::starting;
   EngineLogin login_;
   std::optional<ScramClient> scram_;
   CancelKey key_;
   std::string buffer_;  // an incomplete message
-  std::size_t pass_through_bytes_ = 0;  // of a large message, still to come
+  std::size_t pass_through_bytes_ = 0;  // remaining bytes of a large message
   std::string answer_;
-  std::map<std::string, std::string> settings_;  // that this connection has set at the engine
-  std::vector<bool> parse_shown_;  // of the query in flight
+  std::map<std::string, std::string> settings_;  // set on this connection at the engine
+  std::vector<bool> parse_from_client_;  // for the query in flight
   std::size_t parses_completed_ = 0;
   bool has_rows_ = false;  // in the answer so far
   BackendAnswerEnd end_;  // of the answer so far
 };
 
-/// The statements that change an engine's settings from `current` to `wanted`: SET of what differs, RESET of
-/// what is not wanted any more. Empty where nothing differs.
+/// The statements that change an engine's settings from `current` to `target`: SET for settings that differ,
+/// RESET for settings that only `current` has. Empty if nothing differs.
 std::string settings_change(const std::map<std::string, std::string>& current,
-                            const std::map<std::string, std::string>& wanted);
+                            const std::map<std::string, std::string>& target);
 
 }  // namespace paddlestand::pg
--- a/src/protocol/pg/bytes.hpp
+++ b/src/protocol/pg/bytes.hpp
@@ -1,6 +1,5 @@
 /// The data types of PostgreSQL's protocol 3.0 (chapter 55.6 of its manual): big-endian integers and
-/// zero-terminated strings, read with every length checked, and written with messages' lengths filled in at
-/// their end.
+/// zero-terminated strings. The reader checks every length; the writer fills in the length of each message.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +10,8 @@
 
 namespace paddlestand::pg {
 
-/// Reads one value after another. A read past the end sets bad(): from then on all reads return zeros and
-/// empty strings. The views returned point into the bytes given.
+/// Reads values in sequence. After a read past the end bad() is true, and all further reads return zeros and
+/// empty strings. The returned views point into the given bytes.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : remaining_(bytes) {}
@@ -36,14 +35,14 @@
     remaining_.remove_prefix(end + 1);
     return part;
   }
-  /// Everything that has not been read.
+  /// All bytes that have not been read yet.
   std::string_view remaining_bytes() {
     const std::string_view part = remaining_;
     remaining_ = {};
     return part;
   }
   [[nodiscard]] bool bad() const { return bad_; }
-  /// Whether everything was read, and no read failed.
+  /// Whether all bytes were read and no read failed.
   [[nodiscard]] bool done() const { return remaining_.empty() && !bad_; }
   [[nodiscard]] std::size_t remaining() const { return remaining_.size(); }
 
@@ -63,17 +62,17 @@
   bool bad_ = false;
 };
 
-/// Appends one message after another to a string, which must outlive it.
+/// Appends messages to a string, which must outlive the writer.
 class Writer {
  public:
   explicit Writer(std::string& out) : out_(out) {}
 
-  /// Begins a message of a type.
+  /// Begins a message with a type.
   Writer& begin(char type) {
     out_.push_back(type);
     return begin_untyped();
   }
-  /// Begins a message without one: StartupMessage, SSLRequest, CancelRequest.
+  /// Begins a message without a type: StartupMessage, SSLRequest, CancelRequest.
   Writer& begin_untyped() {
     start_ = out_.size();
     return u32(0);
@@ -85,7 +84,8 @@
     out_.append(value);
     return *this;
   }
-  /// A string and its terminating zero. It is cut at a zero inside, where a reader would end it.
+  /// A string with its terminating zero. It is truncated at the first embedded zero, where a reader would end
+  /// it.
   Writer& text(std::string_view value) {
     out_.append(value.substr(0, value.find('\0')));
     out_.push_back('\0');
--- a/src/protocol/pg/extended_batch.cpp
+++ b/src/protocol/pg/extended_batch.cpp
@@ -26,7 +26,7 @@
   return parsed == parsed_.rend() ? statements_.find(name) : &parsed->second;
 }
 
-/// From here on the batch's messages go to an engine, unless the manager has answered part of it already.
+/// Routes the batch to an engine. Fails if the manager has already answered part of it.
 std::optional<Fields> ExtendedBatch::require_engine() {
   if (!local_portals_.empty()) return mixed_statements_error();
   needs_engine_ = true;
@@ -36,7 +36,7 @@
 void ExtendedBatch::put_engine_parse(const std::string& name, const PreparedStatement& statement,
                                      bool by_client) {
   put_parse(query_.bytes, "", statement.text, statement.types);
-  query_.parse_shown.push_back(by_client);
+  query_.parse_from_client.push_back(by_client);
   engine_statement_ = name;
   if (text_.empty()) text_ = statement.text;
 }
@@ -57,7 +57,7 @@
   if (!name.empty() && find(name) != nullptr)
     return error("42P05", "prepared statement \"" + name + "\" already exists");
   if (!has_capacity(text.size())) {
-    return error("54000", "too many prepared statements in this session; wanted: at most " +
+    return error("54000", "too many prepared statements in this session; the limit is " +
                               std::to_string(limits_.max_statements));
   }
   return std::nullopt;
@@ -66,7 +66,7 @@
 std::optional<Fields> ExtendedBatch::on_parse(std::string_view body) {
   const auto message = parse_parse(body);
   if (!message) return malformed("Parse");
-  if (!is_utf8(message->query)) return error("22021", "the statement is not UTF-8");
+  if (!is_utf8(message->query)) return error("22021", "the statement is not valid UTF-8");
   const std::string name(message->statement);
   if (auto problem = check_new_statement(name, message->query)) return problem;
 
@@ -83,8 +83,7 @@
   return std::nullopt;
 }
 
-/// Makes the statement the engine's unnamed one, with a Parse message of the manager's own where it isn't
-/// yet.
+/// Ensures that the statement is the engine's unnamed one, by adding a Parse message if necessary.
 std::optional<Fields> ExtendedBatch::prepare_at_engine(const std::string& name) {
   const PreparedStatement* statement = find(name);
   if (statement == nullptr) return error("26000", "prepared statement \"" + name + "\" does not exist");
@@ -121,9 +120,9 @@
     put_raw(local_answers_, backend_message::parameter_description, no_parameters);
   }
   const sql::Scanned scanned = sql::scan(text);
-  const auto& words = scanned.statements[0].words;
-  if (words[0] == "show" && words.size() > 1) {
-    const Column column{words[1], text_type_oid, -1};
+  const auto& tokens = scanned.statements[0].tokens;
+  if (tokens[0] == "show" && tokens.size() > 1) {
+    const Column column{tokens[1], text_type_oid, -1};
     put_row_description(local_answers_, {&column, 1});
   } else {
     put_empty(local_answers_, backend_message::no_data);
@@ -159,7 +158,7 @@
   const std::string portal(message->portal);
   if (const auto local = local_portals_.find(portal); local != local_portals_.end()) {
     const sql::Scanned scanned = sql::scan(local->second);
-    return parameters_.execute(scanned.statements[0].words, RowDescription::omit, local_answers_);
+    return parameters_.execute(scanned.statements[0].tokens, RowDescription::omit, local_answers_);
   }
   if (!needs_engine_) return error("34000", "portal \"" + portal + "\" does not exist");
   put_raw(query_.bytes, frontend_message::execute, body);
--- a/src/protocol/pg/extended_batch.hpp
+++ b/src/protocol/pg/extended_batch.hpp
@@ -1,6 +1,6 @@
-/// The extended query protocol (chapter 55.2.3 of PostgreSQL's manual): the messages of a client up to its
-/// Sync or Flush are gathered into one query for an engine. Statements that the manager answers itself (SET,
-/// SHOW, RESET) can't share a batch with those of an engine.
+/// The extended query protocol (chapter 55.2.3 of PostgreSQL's manual): a client's messages up to its Sync or
+/// Flush are collected into one query for an engine. Statements that the manager answers itself (SET, SHOW,
+/// RESET) can't be in the same batch as statements for an engine.
 #pragma once
 
 #include <map>
@@ -18,9 +18,9 @@
 
 namespace paddlestand::pg {
 
-/// One batch. Each on_... function handles the body of a message; an error that it returns ends the batch:
-/// the client is sent it, and its messages are skipped up to the Sync. The session's parts must outlive the
-/// batch.
+/// One batch. Each on_... function handles the body of a message. An error that it returns ends the batch: it
+/// is sent to the client, whose messages are skipped up to the Sync. The constructor's arguments must outlive
+/// the batch.
 class ExtendedBatch {
  public:
   using NamedStatement = std::pair<std::string, PreparedStatement>;
@@ -34,18 +34,18 @@
   std::optional<Fields> on_execute(std::string_view body);
   std::optional<Fields> on_close(std::string_view body);
 
-  /// Whether an engine has to answer it. Else local_answers() are all of its answers.
+  /// Whether an engine has to answer the batch. If not, local_answers() is the complete answer.
   [[nodiscard]] bool needs_engine() const { return needs_engine_; }
   /// The manager's own answers, to be moved to the client.
   [[nodiscard]] std::string& local_answers() { return local_answers_; }
-  /// The text by which the batch is classified: that of its first statement.
+  /// The text by which the batch is classified: its first statement.
   [[nodiscard]] const std::string& text() const { return text_; }
   [[nodiscard]] std::size_t query_bytes() const { return query_.bytes.size(); }
 
-  /// The query for an engine, to be moved out when the batch is submitted.
+  /// The query for an engine, to be moved from when the batch is submitted.
   [[nodiscard]] EngineQuery& query() { return query_; }
-  /// The statements of the client's Parse messages, to be moved out with it: they exist once an engine has
-  /// completed them.
+  /// The statements of the client's Parse messages, to be moved from together with the query. They become
+  /// prepared statements of the session when an engine has completed the Parse.
   [[nodiscard]] std::vector<NamedStatement>& parsed_statements() { return parsed_; }
 
  private:
@@ -62,10 +62,10 @@
   SessionParameters& parameters_;
   EngineQuery query_;
   std::string text_;
-  std::optional<std::string> engine_statement_;  // the name of the one that is the engine's unnamed statement
+  std::optional<std::string> engine_statement_;  // name of the statement that is the engine's unnamed one
   bool needs_engine_ = false;
   std::string local_answers_;
-  std::map<std::string, std::string> local_portals_;  // name, text: bound to what the manager answers itself
+  std::map<std::string, std::string> local_portals_;  // text by name, for statements answered by the manager
   std::vector<NamedStatement> parsed_;
 };
 
--- a/src/protocol/pg/frame.cpp
+++ b/src/protocol/pg/frame.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t retained_buffer_bytes =
-    4096;  // a larger one is freed once empty: most sessions are idle
+    4096;  // larger buffers are shrunk once they are empty, because most sessions are idle
 constexpr std::size_t length_bytes = 4;
 
 std::string describe_type(char type, bool typed) {
@@ -32,13 +32,13 @@
 
 std::optional<Frame> FrameReader::next(bool typed) {
   const std::size_t header_bytes = typed ? length_bytes + 1 : length_bytes;
-  if (bad_ || waiting() < header_bytes) return std::nullopt;
+  if (bad_ || buffered_bytes() < header_bytes) return std::nullopt;
   const std::string_view buffered = std::string_view(buffer_).substr(read_);
   const std::uint32_t length = Reader(buffered.substr(header_bytes - length_bytes)).u32();
   if (length < length_bytes || length - length_bytes > max_body_bytes_) {
     bad_ = true;
     problem_ = "message of type " + describe_type(buffered[0], typed) + " announces a length of " +
-               std::to_string(length) + "; wanted: 4 to " + std::to_string(max_body_bytes_ + length_bytes);
+               std::to_string(length) + "; expected 4 to " + std::to_string(max_body_bytes_ + length_bytes);
     return std::nullopt;
   }
   const std::size_t message_bytes = header_bytes - length_bytes + length;
--- a/src/protocol/pg/frontend_login.cpp
+++ b/src/protocol/pg/frontend_login.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t major_version(std::uint32_t code) { return code >> 16U; }
 constexpr std::uint32_t minor_version(std::uint32_t code) { return code & 0xffffU; }
 
-/// The words of an `options` parameter: separated by blanks, a backslash escapes the next character.
+/// Splits an `options` parameter at spaces; a backslash escapes the next character.
 std::vector<std::string> split_options(std::string_view text) {
   std::vector<std::string> words(1);
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -30,7 +30,8 @@
   return words;
 }
 
-/// Reads "-c name=value --name=value", as libpq's parameter `options` passes it; false where it is malformed.
+/// Reads "-c name=value --name=value", the form of libpq's parameter `options`. Returns false if it is
+/// malformed.
 bool read_options(std::string_view text, std::map<std::string, std::string>& settings) {
   const std::vector<std::string> words = split_options(text);
   for (std::size_t i = 0; i < words.size(); ++i) {
@@ -55,35 +56,35 @@
   return value == "false" || value == "off" || value == "0" || value == "no";
 }
 
-/// The parameters of a startup message, sorted by what becomes of them.
+/// The parameters of a startup message, grouped by their use.
 struct StartupParameters {
   std::string user;
   std::string database;
   std::map<std::string, std::string> settings;
-  std::vector<std::string> unknown_options;  // of the protocol
+  std::vector<std::string> unknown_options;  // protocol options
 };
 
 std::optional<Fields> read_parameter(const std::string& name, const std::string& value,
                                      StartupParameters& parameters) {
-  if (!is_utf8(name) || !is_utf8(value)) return error("22021", "startup parameter that is not UTF-8");
+  if (!is_utf8(name) || !is_utf8(value)) return error("22021", "a startup parameter is not valid UTF-8");
   if (name == "user") {
     parameters.user = value;
   } else if (name == "database") {
     parameters.database = value;
   } else if (name == "replication") {
-    if (!is_off(value)) return error("0A000", "replication is not carried by this workload manager");
+    if (!is_off(value)) return error("0A000", "replication is not supported by this workload manager");
   } else if (name.starts_with("_pq_.")) {
     parameters.unknown_options.push_back(name);
   } else if (name == "options") {
     if (!read_options(value, parameters.settings))
-      return error("22023", "malformed options in the startup message; wanted: -c name=value");
+      return error("22023", "malformed options in the startup message; expected -c name=value");
   } else {
     parameters.settings[name] = value;
   }
   return std::nullopt;
 }
 
-/// NegotiateProtocolVersion: 3.0 is what is spoken, without any options.
+/// NegotiateProtocolVersion: offers version 3.0 without protocol options.
 void put_negotiation(std::string& out, const std::vector<std::string>& unknown_options) {
   std::string body;
   Writer writer(body);
@@ -96,7 +97,7 @@
 
 LoginResult FrontendLogin::on_message(const Frame& frame, SessionParameters& parameters, std::string& out) {
   if (state_ == State::startup) return on_startup(frame.body, parameters, out);
-  if (frame.type != frontend_message::password) return error("08P01", "wanted: a password message");
+  if (frame.type != frontend_message::password) return error("08P01", "expected a password message");
   if (state_ == State::sasl_initial_response) return on_sasl_initial_response(frame.body, out);
   return on_sasl_response(frame.body, out);
 }
@@ -112,7 +113,8 @@
   if (message->code == cancel_code) return FrontendCancelRequest{message->key};
   if (major_version(message->code) != major_version(protocol_3)) {
     return error("0A000", "protocol " + std::to_string(major_version(message->code)) + "." +
-                              std::to_string(minor_version(message->code)) + " is not carried; wanted: 3.0");
+                              std::to_string(minor_version(message->code)) +
+                              " is not supported; expected 3.0");
   }
   return on_startup_message(*message, parameters, out);
 }
@@ -153,7 +155,7 @@
   const std::string_view client_first = reader.remaining_bytes();
   if (reader.bad() || mechanism != scram_mechanism || length < 0 ||
       static_cast<std::size_t>(length) != client_first.size())
-    return error("28000", "wanted: SASL with SCRAM-SHA-256");
+    return error("28000", "expected SASL authentication with SCRAM-SHA-256");
   const auto found = users_->verifiers.find(user_);
   const bool is_known = found != users_->verifiers.end();
   scram_.emplace(is_known ? found->second : Verifier::mock(user_, users_->mock_secret), is_known, nonce_);
--- a/src/protocol/pg/frontend_login.hpp
+++ b/src/protocol/pg/frontend_login.hpp
@@ -17,31 +17,31 @@
 
 namespace paddlestand::pg {
 
-/// Who may log in.
+/// The users that may log in.
 struct Users {
-  bool trust = false;  ///< no password is asked for
+  bool trust = false;  ///< no password is required
   std::map<std::string, Verifier> verifiers;  ///< by user name
-  std::string mock_secret;  ///< for exchanges with users that don't exist
+  std::string mock_secret;  ///< for SCRAM exchanges with users that don't exist
 };
 
-/// The connection is for this alone.
+/// The connection was opened only to cancel a request.
 struct FrontendCancelRequest {
   CancelKey key;
 };
 
 struct LoginPending {};  ///< more messages are needed
 struct LoginComplete {};
-/// What a message of the login leads to; Fields: the error with which the session ends.
+/// The result of a login message; Fields: the error that ends the session.
 using LoginResult = std::variant<LoginPending, LoginComplete, FrontendCancelRequest, Fields>;
 
-/// The messages of one client's login. No I/O; the caller sends what is appended to `out`.
+/// Handles the messages of one client's login. No I/O: the caller sends the bytes appended to `out`.
 class FrontendLogin {
  public:
-  /// `nonce`: the server's of the SCRAM exchange, random and used once.
+  /// `nonce`: the server's nonce of the SCRAM exchange, random and used once.
   FrontendLogin(std::shared_ptr<const Users> users, std::string nonce)
       : users_(std::move(users)), nonce_(std::move(nonce)) {}
 
-  /// Whether the next message has a type: the first ones have none.
+  /// Whether the next message has a type. Startup messages have none.
   [[nodiscard]] bool expects_typed_message() const { return state_ != State::startup; }
 
   /// Handles the next message. Parameters of the startup message are set in `parameters`.
--- a/src/protocol/pg/frontend_session.cpp
+++ b/src/protocol/pg/frontend_session.cpp
@@ -11,7 +11,8 @@
 namespace paddlestand::pg {
 namespace {
 
-constexpr std::size_t max_login_message = 10000;  // bytes: a client that is not known yet gets little memory
+constexpr std::size_t max_login_message =
+    10000;  // bytes; limits the memory of clients that are not authenticated
 
 }  // namespace
 
@@ -65,7 +66,7 @@
 }
 
 FrontendEvent FrontendSession::complete_login() {
-  // From here on messages may be large; those sent before the login was complete are kept.
+  // Allows large messages from here on, and keeps the bytes that are already buffered.
   FrameReader frames(limits_.max_message);
   frames.feed(frames_.extract_buffered());
   frames_ = std::move(frames);
@@ -90,12 +91,12 @@
     case frontend_message::sync: return on_sync(frame.body);
     case frontend_message::flush: return end_batch(BatchEnd::flush);
     case frontend_message::function_call:
-      answer_error(error("0A000", "function calls are not carried by this workload manager"));
+      answer_error(error("0A000", "function calls are not supported by this workload manager"));
       return std::nullopt;
     case frontend_message::copy_data:
     case frontend_message::copy_done:
     case frontend_message::copy_fail:
-      return std::nullopt;  // of a COPY that was rejected: ignored, as PostgreSQL does
+      return std::nullopt;  // left over from a rejected COPY: ignored, as in PostgreSQL
     default: {
       const auto code = static_cast<unsigned char>(frame.type);
       return end_session(error("08P01", "message of unknown type " + std::to_string(code)));
@@ -124,7 +125,7 @@
 
 void FrontendSession::request_done(const BackendAnswerEnd& end) {
   busy_ = false;
-  keep_parsed_statements(end.parses_shown);
+  keep_parsed_statements(end.client_parses_completed);
   if (request_end_ == BatchEnd::sync) {
     put_ready(out_, transaction_idle);
   } else if (!end.error_code.empty()) {
@@ -146,12 +147,12 @@
 // ---- Simple query ----
 
 std::optional<FrontendEvent> FrontendSession::on_query(std::string_view body) {
-  batch_.reset();  // a simple query discards what was not synced
+  batch_.reset();  // a simple query discards extended messages without a Sync
   Reader reader(body);
   const std::string_view text = reader.text();
   if (!reader.done()) return end_session(error("08P01", "malformed Query message"));
   if (!is_utf8(text)) {
-    answer_error(error("22021", "the query is not UTF-8"));
+    answer_error(error("22021", "the query is not valid UTF-8"));
     return std::nullopt;
   }
   const sql::Scanned scanned = sql::scan(text);
@@ -180,7 +181,7 @@
 
 void FrontendSession::answer_settings(const sql::Scanned& scanned) {
   for (const sql::Statement& statement : scanned.statements) {
-    if (const auto problem = parameters_.execute(statement.words, RowDescription::include, out_)) {
+    if (const auto problem = parameters_.execute(statement.tokens, RowDescription::include, out_)) {
       put_error(out_, *problem);
       break;
     }
@@ -210,9 +211,9 @@
   }
 }
 
-/// Drops the batch: one error now, nothing more until its Sync.
+/// Discards the batch: sends one error now and skips messages up to the Sync.
 void FrontendSession::reject_batch(const Fields& error) {
-  out_ += batch_->local_answers();  // what was answered before the error stays answered, in order
+  out_ += batch_->local_answers();  // answers from before the error precede it
   batch_.reset();
   put_error(out_, error);
   state_ = State::skipping;
@@ -229,7 +230,7 @@
   return end_batch(BatchEnd::sync);
 }
 
-/// At a Sync; or at a Flush, where the client waits for the answers so far before it continues.
+/// Called at a Sync, or at a Flush, where the client waits for the answers so far before it continues.
 std::optional<FrontendEvent> FrontendSession::end_batch(BatchEnd end) {
   if (batch_) {
     out_ += batch_->local_answers();
@@ -251,7 +252,7 @@
   return submit(std::move(query), text, sql::scan(text));
 }
 
-/// Prepared statements exist from the completion of their Parse on, whatever follows it in the batch.
+/// Stores the statements whose Parse has completed, even if a later message of the batch failed.
 void FrontendSession::keep_parsed_statements(std::uint32_t completed) {
   for (std::size_t i = 0; i < parsed_in_flight_.size() && i < completed; ++i)
     statements_.put(parsed_in_flight_[i].first, std::move(parsed_in_flight_[i].second));
--- a/src/protocol/pg/frontend_session.hpp
+++ b/src/protocol/pg/frontend_session.hpp
@@ -1,8 +1,8 @@
-/// The manager's side of a client's session, without I/O: login, simple queries, extended batches up to their
-/// Sync, both pipelined; SET, SHOW and RESET of what drivers set at their start (chapter 55.2 of PostgreSQL's
-/// manual).
+/// The manager's side of a client's session, without I/O (chapter 55.2 of PostgreSQL's manual): login, simple
+/// queries and extended batches up to their Sync, both pipelined, and SET, SHOW and RESET of the parameters
+/// that drivers set on startup.
 ///
-/// One request is in flight at a time; messages behind it wait unread in the buffer.
+/// One request is in flight at a time; later messages stay unparsed in the buffer.
 #pragma once
 
 #include <cstdint>
@@ -33,18 +33,19 @@
 /// A request for an engine.
 struct FrontendRequest {
   EngineQuery query;
-  std::string text;  ///< the statement by which it is classified: the first one of a batch
-  sql::Tags tags;  ///< of its comments
+  std::string text;  ///< the statement by which the request is classified: the first one of a batch
+  sql::Tags tags;  ///< from the comments in the text
   std::optional<Duration> statement_timeout;
 };
-/// The client has terminated the session, or must be closed: out() holds the error then.
+/// The session has ended: the client terminated it, or an error ended it, which is in out().
 struct FrontendClosed {};
 using FrontendEvent = std::variant<FrontendStarted, FrontendCancelRequest, FrontendRequest, FrontendClosed>;
 
-/// One client's session. The host feeds it the client's bytes, handles its events and sends what is in out().
+/// One client's session. The host feeds it the client's bytes, handles its events and sends the bytes in
+/// out().
 class FrontendSession {
  public:
-  /// `key`: what the client will cancel requests with. `nonce`: random, for SCRAM.
+  /// `key`: the key for the client's cancel requests. `nonce`: random, for SCRAM.
   FrontendSession(const FrontendSettings& settings, std::shared_ptr<const Users> users, CancelKey key,
                   std::string nonce);
   FrontendSession(const FrontendSession&) = delete;
@@ -52,23 +53,24 @@
 
   /// Bytes from the client.
   void feed(std::string_view bytes) { frames_.feed(bytes); }
-  /// The next event, or nothing where more bytes are needed, a request is in flight or the session has ended.
+  /// The next event, or nothing if more bytes are needed, a request is in flight or the session has ended.
   std::optional<FrontendEvent> next();
 
-  /// The engine's answer to the request in flight was sent to the client; out() gets what follows it.
+  /// To be called when the engine's answer to the request in flight was queued for the client. Appends the
+  /// remaining messages to out().
   void request_done(const BackendAnswerEnd& end);
-  /// The request in flight, or the one just returned by next(), is answered with an error.
+  /// Answers the request in flight, or the one just returned by next(), with an error.
   void request_failed(const Fields& error);
 
-  /// Bytes for the client, to be taken by the host.
+  /// Bytes for the client, to be moved from by the host.
   std::string& out() { return out_; }
 
   /// Whether a request is in flight.
   [[nodiscard]] bool busy() const { return busy_; }
-  /// Whether the client has logged in, and the session has not ended.
+  /// Whether the client has logged in and the session has not ended.
   [[nodiscard]] bool started() const { return state_ == State::ready || state_ == State::skipping; }
-  /// Bytes of the client that are buffered.
-  [[nodiscard]] std::size_t waiting() const { return frames_.waiting(); }
+  /// The number of the client's bytes that are buffered.
+  [[nodiscard]] std::size_t buffered_bytes() const { return frames_.buffered_bytes(); }
   [[nodiscard]] const std::string& user() const { return login_.user(); }
   [[nodiscard]] const std::string& database() const { return login_.database(); }
   [[nodiscard]] std::string application() const { return parameters_.application(); }
@@ -107,10 +109,10 @@
   FrontendLogin login_;
   SessionParameters parameters_;
   PreparedStatements statements_;
-  std::optional<ExtendedBatch> batch_;  // since the last Sync
-  std::vector<ExtendedBatch::NamedStatement> parsed_in_flight_;  // by the request in flight
+  std::optional<ExtendedBatch> batch_;  // messages since the last Sync or Flush
+  std::vector<ExtendedBatch::NamedStatement> parsed_in_flight_;  // parsed by the request in flight
   bool busy_ = false;
-  BatchEnd request_end_ = BatchEnd::sync;  // flush: the client's Sync is still to come
+  BatchEnd request_end_ = BatchEnd::sync;  // flush: the client has not sent its Sync yet
   std::string out_;
 };
 
--- a/src/protocol/pg/messages.cpp
+++ b/src/protocol/pg/messages.cpp
@@ -18,7 +18,7 @@
     if (!reader.done()) return std::nullopt;
     return message;
   }
-  // Names and values in turn, with an empty name after the last.
+  // Pairs of name and value, terminated by an empty name.
   while (reader.remaining() > 1) {
     const std::string_view name = reader.text();
     const std::string_view value = reader.text();
@@ -52,7 +52,7 @@
   for (std::uint16_t count = values.u16(); count > 0 && !values.bad(); --count) {
     const std::int32_t length = values.i32();
     if (length < -1) return std::nullopt;
-    if (length > 0) values.bytes(static_cast<std::size_t>(length));  // -1: a null value
+    if (length > 0) values.bytes(static_cast<std::size_t>(length));  // -1 is a null value
   }
   values.bytes(std::size_t{2} * values.u16());
   if (reader.bad() || !values.done()) return std::nullopt;
@@ -84,7 +84,7 @@
   writer.u8(0).end();
 }
 
-void put_cancel(std::string& out, CancelKey key) {
+void put_cancel_request(std::string& out, CancelKey key) {
   Writer writer(out);
   writer.begin_untyped().u32(cancel_code).u32(key.process).u32(key.secret).end();
 }
@@ -119,7 +119,7 @@
 
 void put_password(std::string& out, std::string_view body) { put_raw(out, frontend_message::password, body); }
 
-void put_sasl_first(std::string& out, std::string_view mechanism, std::string_view body) {
+void put_sasl_initial_response(std::string& out, std::string_view mechanism, std::string_view body) {
   Writer writer(out);
   writer.begin(frontend_message::password)
       .text(mechanism)
@@ -135,7 +135,7 @@
     const std::string_view value = reader.text();
     if (reader.bad()) return std::nullopt;
     switch (static_cast<char>(code)) {
-      case 'V': fields.severity = value; break;  // not localized
+      case 'V': fields.severity = value; break;  // not localized; takes precedence over 'S'
       case 'S':
         if (fields.severity.empty()) fields.severity = value;
         break;
--- a/src/protocol/pg/messages.hpp
+++ b/src/protocol/pg/messages.hpp
@@ -1,6 +1,6 @@
-/// Messages of PostgreSQL's protocol 3.0 (chapter 55.7 of its manual), both directions: builders that append
-/// to a string, and parsers of what this program reads. A parser returns nothing where the body is malformed;
-/// the views it returns point into the body.
+/// Messages of PostgreSQL's protocol 3.0 (chapter 55.7 of its manual) in both directions: builders that
+/// append to a string, and parsers for the messages that this program reads. A parser returns nothing if the
+/// body is malformed; the views that it returns point into the body.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 inline constexpr std::uint32_t cancel_code = 80877102;  ///< CancelRequest
 inline constexpr std::uint32_t ssl_code = 80877103;  ///< SSLRequest
 inline constexpr std::uint32_t gss_code = 80877104;  ///< GSSENCRequest
-/// The answer to SSLRequest and GSSENCRequest: go on without encryption.
+/// The answer to SSLRequest and GSSENCRequest: continue without encryption.
 inline constexpr char encryption_declined = 'N';
 
 /// Types of messages that a client (frontend) sends.
@@ -64,7 +64,7 @@
 inline constexpr char row_description = 'T';
 }  // namespace backend_message
 
-/// Codes of Authentication messages.
+/// Codes in Authentication messages.
 namespace authentication {
 inline constexpr std::uint32_t ok = 0;
 inline constexpr std::uint32_t sasl = 10;
@@ -72,12 +72,12 @@
 inline constexpr std::uint32_t sasl_final = 12;
 }  // namespace authentication
 
-/// The status in ReadyForQuery of a session outside of a transaction block.
+/// The status in ReadyForQuery outside of a transaction block.
 inline constexpr char transaction_idle = 'I';
 /// The type `text` in RowDescription.
 inline constexpr std::uint32_t text_type_oid = 25;
 
-/// What BackendKeyData gives to a client for its CancelRequests.
+/// The key from BackendKeyData that a CancelRequest contains.
 struct CancelKey {
   std::uint32_t process{};
   std::uint32_t secret{};
@@ -88,55 +88,55 @@
 
 /// StartupMessage, SSLRequest, GSSENCRequest or CancelRequest.
 struct StartupMessage {
-  std::uint32_t code{};  ///< the version asked for, or one of the codes above
+  std::uint32_t code{};  ///< the requested version, or one of the codes above
   std::vector<std::pair<std::string, std::string>> parameters;
   CancelKey key;  ///< of a CancelRequest
 };
 std::optional<StartupMessage> parse_startup(std::string_view body);
 
 struct ParseMessage {
-  std::string_view statement;  ///< its name
+  std::string_view statement;  ///< the statement's name
   std::string_view query;
-  std::string_view types;  ///< of its parameters: as in the message, their count included
+  std::string_view types;  ///< the parameters' count and types, encoded as in the message
 };
 std::optional<ParseMessage> parse_parse(std::string_view body);
 
 struct BindMessage {
   std::string_view portal;
   std::string_view statement;
-  std::string_view parameters;  ///< formats, values and result formats, as in the message
+  std::string_view parameters;  ///< formats, values and result formats, encoded as in the message
 };
 std::optional<BindMessage> parse_bind(std::string_view body);
 
 /// Describe or Close.
 struct NamedMessage {
-  char target{};  ///< 'S': a statement, 'P': a portal
+  char target{};  ///< 'S' for a statement, 'P' for a portal
   std::string_view name;
 };
 std::optional<NamedMessage> parse_named(std::string_view body);
 
 struct ExecuteMessage {
   std::string_view portal;
-  std::uint32_t max_rows{};  ///< zero: all
+  std::uint32_t max_rows{};  ///< zero for no limit
 };
 std::optional<ExecuteMessage> parse_execute(std::string_view body);
 
 void put_startup(std::string& out, std::span<const std::pair<std::string, std::string>> parameters);
-void put_cancel(std::string& out, CancelKey key);
+void put_cancel_request(std::string& out, CancelKey key);
 void put_query(std::string& out, std::string_view text);
 void put_parse(std::string& out, std::string_view statement, std::string_view query, std::string_view types);
 void put_bind(std::string& out, std::string_view portal, std::string_view statement,
               std::string_view parameters);
 /// Describe or Close.
 void put_named(std::string& out, char type, char target, std::string_view name);
-/// Any message, its body ready.
+/// Any message, given its encoded body.
 void put_raw(std::string& out, char type, std::string_view body);
-/// A message without a body: Sync, ParseComplete and their like.
+/// A message without a body, such as Sync or ParseComplete.
 void put_empty(std::string& out, char type);
 /// PasswordMessage or SASLResponse.
 void put_password(std::string& out, std::string_view body);
 /// SASLInitialResponse.
-void put_sasl_first(std::string& out, std::string_view mechanism, std::string_view body);
+void put_sasl_initial_response(std::string& out, std::string_view mechanism, std::string_view body);
 
 // ---- From a server ----
 
@@ -162,10 +162,10 @@
 struct Column {
   std::string name;
   std::uint32_t type = text_type_oid;
-  std::int16_t size = -1;  ///< bytes; negative: it varies
+  std::int16_t size = -1;  ///< bytes; negative for a variable size
 };
 void put_row_description(std::string& out, std::span<const Column> columns);
-/// DataRow, of values that are not null.
+/// DataRow of values that are not null.
 void put_row(std::string& out, std::span<const std::string_view> values);
 
 }  // namespace paddlestand::pg
--- a/src/protocol/pg/prepared_statements.hpp
+++ b/src/protocol/pg/prepared_statements.hpp
@@ -1,5 +1,5 @@
-/// The prepared statements of a session: they live in the manager, and are prepared at an engine with each
-/// query that needs them.
+/// The prepared statements of a session. They are stored in the manager, and are prepared at an engine as
+/// part of each query that uses them.
 #pragma once
 
 #include <cstddef>
@@ -10,19 +10,19 @@
 
 struct PreparedStatement {
   std::string text;
-  std::string types;  ///< of its parameters, as in the Parse message, their count included
+  std::string types;  ///< the parameters' count and types, encoded as in the Parse message
 };
 
-/// By name; the unnamed statement has an empty one.
+/// Prepared statements by name; the name of the unnamed statement is empty.
 class PreparedStatements {
  public:
-  /// Null where there is none. Valid until the next change.
+  /// Returns null if there is none. The pointer is valid until the next change.
   [[nodiscard]] const PreparedStatement* find(const std::string& name) const {
     const auto found = statements_.find(name);
     return found == statements_.end() ? nullptr : &found->second;
   }
 
-  /// Adds a statement, or replaces the one of this name.
+  /// Adds a statement, or replaces the one with this name.
   void put(const std::string& name, PreparedStatement statement) {
     remove(name);
     text_bytes_ += statement.text.size();
@@ -37,7 +37,7 @@
   }
 
   [[nodiscard]] std::size_t size() const { return statements_.size(); }
-  /// Of all texts together.
+  /// The total size of all texts.
   [[nodiscard]] std::size_t text_bytes() const { return text_bytes_; }
 
  private:
--- a/src/protocol/pg/scram.cpp
+++ b/src/protocol/pg/scram.cpp
@@ -13,7 +13,8 @@
 namespace paddlestand::pg {
 namespace {
 
-// An exchange computes that many hashes on the loop's thread: more would hold up all other sessions.
+// An exchange computes this many hashes on the event loop's thread, which blocks all other sessions, so a
+// larger count is not accepted.
 constexpr int min_rounds = 1;
 constexpr int max_rounds = 50'000;
 constexpr std::size_t max_base64_characters = 4096;
@@ -54,8 +55,8 @@
 std::string client_key_of(std::string_view salted_password) { return hmac(salted_password, "Client Key"); }
 std::string server_key_of(std::string_view salted_password) { return hmac(salted_password, "Server Key"); }
 
-/// Removes the attribute `name` (as in r=...) from the beginning of a message and returns its value; nothing
-/// where the message begins otherwise.
+/// Removes the attribute `name` (such as r=...) from the beginning of a message and returns its value;
+/// nothing if the message begins with anything else.
 std::optional<std::string_view> read_attribute(std::string_view& message, char name) {
   if (message.size() < 2 || message[0] != name || message[1] != '=') return std::nullopt;
   const auto comma = message.find(',');
@@ -66,10 +67,10 @@
 
 struct Rounds {
   int count{};
-  std::string_view trailing;  // text behind the number
+  std::string_view trailing;  // text after the number
 };
 
-/// The iteration count at the beginning of the text; nothing where there is none that is allowed.
+/// The iteration count at the beginning of the text; nothing if it is missing or out of range.
 std::optional<Rounds> read_rounds(std::string_view text) {
   int count = 0;
   const char* const text_end = text.data() + text.size();
@@ -135,7 +136,8 @@
   gs2_header_ = client_first.substr(0, 3);
   client_first_bare_ = client_first.substr(3);
   std::string_view attributes = client_first_bare_;
-  if (!read_attribute(attributes, 'n')) return std::nullopt;  // ignored: the user is the startup message's
+  if (!read_attribute(attributes, 'n'))
+    return std::nullopt;  // the value is ignored: the startup message names the user
   const auto client_nonce = read_attribute(attributes, 'r');
   if (!client_nonce || client_nonce->empty()) return std::nullopt;
   nonce_ = std::string(*client_nonce) + nonce_;
--- a/src/protocol/pg/session_parameters.cpp
+++ b/src/protocol/pg/session_parameters.cpp
@@ -15,14 +15,14 @@
 std::string key_of(const Parameter& parameter) { return to_lower(parameter.name); }
 
 Fields unknown_parameter(const std::string& name) {
-  return error("42704", "parameter \"" + name + "\" is not known to this workload manager");
+  return error("42704", "parameter \"" + name + "\" is unknown to this workload manager");
 }
 
 Fields unsettable_parameter(const std::string& name) {
   return error("0A000", "parameter \"" + name + "\" can't be set through this workload manager");
 }
 
-/// The only value that a parameter may be set to; nothing where it may have others.
+/// The only allowed value of a parameter; nothing if it may have others.
 std::optional<std::string_view> fixed_value(std::string_view key) {
   if (key == "standard_conforming_strings" || key == "integer_datetimes") return "on";
   if (key == "default_transaction_read_only" || key == "transaction_read_only") return "off";
@@ -39,62 +39,63 @@
   return value == "utf8" || value == "UTF8" || value == "utf-8" || value == "UTF-8" || value == "unicode";
 }
 
-/// The error of a value that is stored nowhere, or can't be set.
+/// Returns an error if the parameter is read-only or the value is not allowed.
 std::optional<Fields> check_value(const std::string& key, const std::string& value) {
   if (is_read_only(key)) return error("55P02", "parameter \"" + key + "\" cannot be changed");
   if (key.ends_with("_timeout") && !read_milliseconds(value)) {
-    return error("22023",
-                 "invalid value for parameter \"" + key + "\": \"" + value + "\"; wanted: a time, as 500ms");
+    return error("22023", "invalid value for parameter \"" + key + "\": \"" + value +
+                              "\"; expected a time such as 500ms");
   }
   if (value.size() > max_value_bytes) return error("22023", "value of parameter \"" + key + "\" is too long");
   return std::nullopt;
 }
 
-/// A word of a statement without the quotes that the scanner left at it.
-std::string unquoted(std::string word) {
-  if (word.starts_with('\'')) word.erase(0, 1);
-  if (word.size() > 1 && word.starts_with('"')) word = word.substr(1, word.size() - 2);
-  return word;
+/// Removes the quotes that the scanner preserves in a token.
+std::string unquoted(std::string token) {
+  if (token.starts_with('\'')) token.erase(0, 1);
+  if (token.size() > 1 && token.starts_with('"')) token = token.substr(1, token.size() - 2);
+  return token;
 }
 
-/// A value of several words, with blanks where they separate words.
-std::string join_value(const std::vector<std::string>& words, std::size_t first) {
+/// Joins the tokens of a value, separated by spaces except around signs.
+std::string join_value(const std::vector<std::string>& tokens, std::size_t first) {
   std::string value;
-  for (std::size_t i = first; i < words.size(); ++i) {
-    const bool is_adjacent = words[i] == "," || value.empty() || value.ends_with('-') || value.ends_with('+');
+  for (std::size_t i = first; i < tokens.size(); ++i) {
+    const bool is_adjacent =
+        tokens[i] == "," || value.empty() || value.ends_with('-') || value.ends_with('+');
     if (!is_adjacent) value += " ";
-    value += unquoted(words[i]);
+    value += unquoted(tokens[i]);
   }
   return value;
 }
 
-bool is_transaction_scoped(std::string_view word) {
-  return word == "local" || word == "transaction" || word == "characteristics" || word == "constraints" ||
-         word == "role" || word == "authorization";
+bool is_transaction_scoped(std::string_view token) {
+  return token == "local" || token == "transaction" || token == "characteristics" || token == "constraints" ||
+         token == "role" || token == "authorization";
 }
 
-/// What a SET, SHOW or RESET is about.
+/// The subject of a SET, SHOW or RESET statement.
 struct Command {
-  std::string name;  // of the parameter, or "all"
-  std::size_t value_at = 0;  // the first word of the value
+  std::string name;  // the parameter's name, or "all"
+  std::size_t value_at = 0;  // index of the value's first token
 };
 
-std::variant<Command, Fields> parse_command(const std::vector<std::string>& words) {
-  const std::string& verb = words[0];
+std::variant<Command, Fields> parse_command(const std::vector<std::string>& tokens) {
+  const std::string& verb = tokens[0];
   std::size_t at = 1;
-  if (verb == "set" && words.size() > at && words[at] == "session") ++at;
-  if (words.size() <= at) return error("42601", "a parameter's name is missing");
-  if (verb != "show" && is_transaction_scoped(words[at]))
-    return error("0A000", "SET " + words[at] + " is not carried by this workload manager");
-  const std::string name = unquoted(words[at]);
+  if (verb == "set" && tokens.size() > at && tokens[at] == "session") ++at;
+  if (tokens.size() <= at) return error("42601", "missing parameter name");
+  if (verb != "show" && is_transaction_scoped(tokens[at]))
+    return error("0A000", "SET " + tokens[at] + " is not supported by this workload manager");
+  const std::string name = unquoted(tokens[at]);
   ++at;
-  if (name == "time" && words.size() > at && words[at] == "zone") return Command{"timezone", at + 1};
-  if (name == "transaction" && words.size() > at + 1 && words[at] == "isolation")
+  if (name == "time" && tokens.size() > at && tokens[at] == "zone") return Command{"timezone", at + 1};
+  if (name == "transaction" && tokens.size() > at + 1 && tokens[at] == "isolation")
     return Command{"transaction_isolation", at + 2};
   if (name == "names") return Command{"client_encoding", at};
   if (verb != "set") return Command{name, at};
-  if (words.size() <= at || (words[at] != "=" && words[at] != "to"))
-    return error("42601", "wanted: SET name = value");
+  if (tokens.size() <= at || (tokens[at] != "=" && tokens[at] != "to"))
+    return error("42601", "expected SET name = value");
   return Command{name, at + 1};
 }
 
@@ -113,12 +114,14 @@
   if (parameter == nullptr) return unsettable_parameter(name);
   const std::string key = key_of(*parameter);
   if (key == "client_encoding") {
-    if (!is_utf8_encoding(value)) return error("0A000", "client_encoding can only be UTF8 here");
+    if (!is_utf8_encoding(value))
+      return error("0A000", "client_encoding can only be UTF8 in this workload manager");
     return std::nullopt;
   }
   if (const auto fixed = fixed_value(key)) {
     if (to_lower(value) == *fixed) return std::nullopt;
-    return error("0A000", "parameter \"" + key + "\" can only be " + std::string(*fixed) + " here");
+    return error("0A000", "parameter \"" + key + "\" can only be " + std::string(*fixed) +
+                              " in this workload manager");
   }
   if (auto problem = check_value(key, value)) return problem;
   values_[key] = value;
@@ -126,17 +129,17 @@
   return std::nullopt;
 }
 
-std::optional<Fields> SessionParameters::execute(const std::vector<std::string>& words,
+std::optional<Fields> SessionParameters::execute(const std::vector<std::string>& tokens,
                                                  RowDescription row_description, std::string& out) {
-  const auto parsed = parse_command(words);
+  const auto parsed = parse_command(tokens);
   if (const auto* problem = std::get_if<Fields>(&parsed)) return *problem;
   const auto& [name, value_at] = std::get<Command>(parsed);
-  if (words[0] == "show") return show(name, row_description, out);
-  if (words[0] == "reset") return reset(name, out);
+  if (tokens[0] == "show") return show(name, row_description, out);
+  if (tokens[0] == "reset") return reset(name, out);
 
-  if (words.size() <= value_at) return error("42601", "wanted: SET name = value");
-  const std::string value = join_value(words, value_at);
-  const bool is_default = value == "default" && words[value_at] == "default";
+  if (tokens.size() <= value_at) return error("42601", "expected SET name = value");
+  const std::string value = join_value(tokens, value_at);
+  const bool is_default = value == "default" && tokens[value_at] == "default";
   auto problem = is_default ? reset_to_default(name) : set(name, value, out);
   if (problem) return problem;
   put_complete(out, "SET");
--- a/src/protocol/pg/session_parameters.hpp
+++ b/src/protocol/pg/session_parameters.hpp
@@ -1,4 +1,4 @@
-/// The run-time parameters of a session (chapter 55.2.7 of PostgreSQL's manual): those of its startup
+/// The run-time parameters of a session (chapter 55.2.7 of PostgreSQL's manual): those of the startup
 /// message, and SET, SHOW and RESET, which the manager answers itself.
 #pragma once
 
@@ -14,31 +14,31 @@
 
 namespace paddlestand::pg {
 
-/// Whether an answer with rows describes them, or a Describe message has asked for that already.
+/// Whether an answer includes a RowDescription; after a Describe message it is omitted.
 enum class RowDescription : unsigned char { include, omit };
 
-/// What a session has set. No I/O; the caller sends what is appended to `out`.
+/// The parameter values of a session. No I/O: the caller sends the bytes appended to `out`.
 class SessionParameters {
  public:
   void set_user(std::string user) { user_ = std::move(user); }
-  /// From here on RESET goes back to what is set now, which came with the startup message.
+  /// Ends the startup: RESET restores the values that are set at this point.
   void end_startup() { startup_values_ = values_; }
 
-  /// Sets a parameter and reports it (ParameterStatus) where clients follow it. The error, where it is not
-  /// known or can't have this value.
+  /// Sets a parameter, and sends ParameterStatus if it is a reported one. Returns an error if the parameter
+  /// is unknown or can't have this value.
   std::optional<Fields> set(const std::string& name, const std::string& value, std::string& out);
 
-  /// Answers a SET, SHOW or RESET statement, given as its words. The error, where it can't be executed:
-  /// nothing was appended then.
-  std::optional<Fields> execute(const std::vector<std::string>& words, RowDescription row_description,
+  /// Answers a SET, SHOW or RESET statement, given as its tokens. Returns an error, with nothing appended, if
+  /// it can't be executed.
+  std::optional<Fields> execute(const std::vector<std::string>& tokens, RowDescription row_description,
                                 std::string& out);
 
-  /// ParameterStatus messages of all parameters that clients follow.
+  /// Appends ParameterStatus messages for all reported parameters.
   void report_all(std::string& out) const;
 
-  /// Those that an engine is given with a query, where they differ from its defaults.
+  /// The parameters to set at an engine for a query: those that differ from the engine's defaults.
   [[nodiscard]] std::map<std::string, std::string> engine_settings() const;
-  /// Nothing where it is not limited.
+  /// Nothing if there is no limit.
   [[nodiscard]] std::optional<Duration> statement_timeout() const;
   [[nodiscard]] std::string application() const { return value_of("application_name"); }
 
@@ -50,8 +50,8 @@
   void restore_startup_value(const std::string& key);
 
   std::string user_;
-  std::map<std::string, std::string> values_;  // that were set, by names in lower case
-  std::map<std::string, std::string> startup_values_;  // of them, what RESET goes back to
+  std::map<std::string, std::string> values_;  // values that were set, by lower-case name
+  std::map<std::string, std::string> startup_values_;  // the values that RESET restores
 };
 
 }  // namespace paddlestand::pg
--- a/src/protocol/pg/sqlstate.cpp
+++ b/src/protocol/pg/sqlstate.cpp
@@ -44,8 +44,8 @@
 core::Ending ending_of_error(std::string_view sqlstate, bool rows_before) {
   if (sqlstate == too_many_connections) return rows_before ? core::Ending::engine_error : core::Ending::full;
   if (sqlstate == query_canceled) return core::Ending::cancelled;
-  // Connection, resources, operator intervention, system, internal and configuration errors: faults of the
-  // engine.
+  // Errors of connections, resources, operator intervention, system, internals and configuration are faults
+  // of the engine.
   constexpr std::array<std::string_view, 6> engine_fault_classes{"08", "53", "57", "58", "XX", "F0"};
   const std::string_view error_class = sqlstate.substr(0, 2);
   const bool is_engine_fault = std::find(engine_fault_classes.begin(), engine_fault_classes.end(),
@@ -53,7 +53,7 @@
   return is_engine_fault ? core::Ending::engine_error : core::Ending::complete;
 }
 
-bool startup_says_full(std::string_view sqlstate) { return sqlstate == too_many_connections; }
+bool is_capacity_error(std::string_view sqlstate) { return sqlstate == too_many_connections; }
 
 Fields error(std::string_view sqlstate, std::string message, std::string hint) {
   Fields fields;
@@ -69,11 +69,11 @@
   const std::string hint = hint_of(answer);
   if (answer.kind == AnswerKind::cancelled)
     return error(query_canceled, "canceling statement due to user request", hint);
-  if (answer.shutting_down) return error(admin_shutdown, "the workload manager is leaving", hint);
+  if (answer.shutting_down) return error(admin_shutdown, "the workload manager is shutting down", hint);
   if (answer.deadline_exceeded)
-    return error(query_canceled, "the query could not be answered within its time", hint);
+    return error(query_canceled, "the query could not be answered before its deadline", hint);
   if (answer.kind == AnswerKind::rejected)
-    return error(configuration_limit_exceeded, "the workload manager refuses the query", hint);
+    return error(configuration_limit_exceeded, "the workload manager rejected the query", hint);
   if (answer.begun)
     return error(connection_failure, "the engine was lost after part of the answer was sent", hint);
   return error(transaction_resolution_unknown, "the query failed and may have run", hint);
--- a/src/protocol/pg/statements.cpp
+++ b/src/protocol/pg/statements.cpp
@@ -35,45 +35,45 @@
     Parameter{"extra_float_digits", "1", true, false},
 };
 
-constexpr double max_milliseconds = 2147483647;  // PostgreSQL's own bound
+constexpr double max_milliseconds = 2147483647;  // PostgreSQL's limit
 
-using Words = std::vector<std::string>;
+using Tokens = std::vector<std::string>;
 
-bool is_any_of(std::string_view word, std::initializer_list<std::string_view> words) {
-  return std::find(words.begin(), words.end(), word) != words.end();
+bool is_any_of(std::string_view token, std::initializer_list<std::string_view> candidates) {
+  return std::find(candidates.begin(), candidates.end(), token) != candidates.end();
 }
 
-bool is_temporary(std::string_view word) { return is_any_of(word, {"temp", "temporary"}); }
+bool is_temporary(std::string_view token) { return is_any_of(token, {"temp", "temporary"}); }
 
-bool is_setting(const Words& words) {
-  return !words.empty() && is_any_of(words[0], {"set", "show", "reset"});
+bool is_setting(const Tokens& tokens) {
+  return !tokens.empty() && is_any_of(tokens[0], {"set", "show", "reset"});
 }
 
-bool creates_temporary_table(const Words& words) {
-  if (words[0] == "create" && words.size() > 1) {
-    if (is_any_of(words[1], {"temp", "temporary", "local", "global"})) return true;
-    return words.size() > 4 && words[1] == "or" && is_temporary(words[3]);
+bool creates_temporary_table(const Tokens& tokens) {
+  if (tokens[0] == "create" && tokens.size() > 1) {
+    if (is_any_of(tokens[1], {"temp", "temporary", "local", "global"})) return true;
+    return tokens.size() > 4 && tokens[1] == "or" && is_temporary(tokens[3]);
   }
-  return words[0] == "select" && std::find(words.begin(), words.end(), "into") != words.end() &&
-         std::any_of(words.begin(), words.end(), is_temporary);
+  return tokens[0] == "select" && std::find(tokens.begin(), tokens.end(), "into") != tokens.end() &&
+         std::any_of(tokens.begin(), tokens.end(), is_temporary);
 }
 
-/// What an unsupported statement is called in its error; nothing for a supported one.
-std::optional<std::string_view> unsupported_kind(const Words& words) {
-  if (words.empty()) return std::nullopt;
-  const std::string& verb = words[0];
+/// The kind of an unsupported statement, for the error message; nothing for a supported one.
+std::optional<std::string_view> unsupported_kind(const Tokens& tokens) {
+  if (tokens.empty()) return std::nullopt;
+  const std::string& verb = tokens[0];
   if (is_any_of(verb, {"begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release"}))
     return "an explicit transaction";
   if (verb == "copy") return "COPY";
-  if (is_any_of(verb, {"listen", "notify", "unlisten"})) return "LISTEN and NOTIFY";
-  if (is_any_of(verb, {"prepare", "execute", "deallocate"})) return "a prepared statement by SQL";
-  if (is_any_of(verb, {"declare", "fetch", "move", "close"})) return "a cursor by SQL";
+  if (is_any_of(verb, {"listen", "notify", "unlisten"})) return "LISTEN/NOTIFY";
+  if (is_any_of(verb, {"prepare", "execute", "deallocate"})) return "an SQL-level prepared statement";
+  if (is_any_of(verb, {"declare", "fetch", "move", "close"})) return "an SQL-level cursor";
   if (is_any_of(verb, {"discard", "lock", "load"})) return "session state";
-  if (creates_temporary_table(words)) return "a temporary table";
+  if (creates_temporary_table(tokens)) return "a temporary table";
   return std::nullopt;
 }
 
-/// The milliseconds in a unit; nothing for an unknown one.
+/// The number of milliseconds in a unit; nothing for an unknown unit.
 std::optional<double> milliseconds_per(std::string_view unit) {
   if (unit.empty() || unit == "ms") return 1;
   if (unit == "s") return 1000;
@@ -85,11 +85,11 @@
 }  // namespace
 
 std::optional<Fields> find_unsupported(const sql::Scanned& scanned) {
-  if (scanned.too_many)
+  if (scanned.has_too_many_statements)
     return error("54000", "more than " + std::to_string(sql::max_statements) + " statements in one query");
   for (const sql::Statement& statement : scanned.statements) {
-    if (const auto kind = unsupported_kind(statement.words))
-      return error("0A000", std::string(*kind) + " is not carried by this workload manager");
+    if (const auto kind = unsupported_kind(statement.tokens))
+      return error("0A000", std::string(*kind) + " is not supported by this workload manager");
   }
   return std::nullopt;
 }
@@ -97,22 +97,22 @@
 bool are_all_settings(const sql::Scanned& scanned) {
   return !scanned.statements.empty() &&
          std::all_of(scanned.statements.begin(), scanned.statements.end(),
-                     [](const sql::Statement& statement) { return is_setting(statement.words); });
+                     [](const sql::Statement& statement) { return is_setting(statement.tokens); });
 }
 
 bool has_setting(const sql::Scanned& scanned) {
   return std::any_of(scanned.statements.begin(), scanned.statements.end(),
-                     [](const sql::Statement& statement) { return is_setting(statement.words); });
+                     [](const sql::Statement& statement) { return is_setting(statement.tokens); });
 }
 
 Fields mixed_statements_error() {
-  return error("0A000", "SET, SHOW and RESET can't share a request with other statements here");
+  return error("0A000", "SET, SHOW and RESET can't be combined with other statements in one request");
 }
 
 const Parameter* find_parameter(std::string_view name) {
-  const std::string wanted = to_lower(name);
+  const std::string lower_name = to_lower(name);
   const auto found = std::find_if(parameters.begin(), parameters.end(), [&](const Parameter& parameter) {
-    return to_lower(parameter.name) == wanted;
+    return to_lower(parameter.name) == lower_name;
   });
   return found == parameters.end() ? nullptr : &*found;
 }
--- a/src/protocol/pg/statements.hpp
+++ b/src/protocol/pg/statements.hpp
@@ -1,5 +1,5 @@
-/// What the manager makes of a statement by its first words: forwarded to an engine, answered here, or
-/// unsupported; and the run-time parameters that it knows.
+/// Decides by a statement's first tokens whether it is forwarded to an engine, answered by the manager or
+/// unsupported; and defines the run-time parameters that the manager knows.
 #pragma once
 
 #include <optional>
@@ -12,29 +12,28 @@
 
 namespace paddlestand::pg {
 
-/// The error of the first statement that the manager supports neither here nor at an engine, or of too many
-/// statements in one text.
+/// The error for the first unsupported statement, or for too many statements in one text.
 std::optional<Fields> find_unsupported(const sql::Scanned& scanned);
 
-/// Whether there are statements, and all are SET, SHOW or RESET, which the manager answers itself.
+/// Whether there is at least one statement and all are SET, SHOW or RESET, which the manager answers itself.
 [[nodiscard]] bool are_all_settings(const sql::Scanned& scanned);
-/// Whether any of them is.
+/// Whether any statement is SET, SHOW or RESET.
 [[nodiscard]] bool has_setting(const sql::Scanned& scanned);
-/// The error of a request where these are mixed with others.
+/// The error for a request that mixes SET, SHOW or RESET with other statements.
 Fields mixed_statements_error();
 
-/// A parameter that sessions may set, or only read.
+/// A run-time parameter, some of which are read-only.
 struct Parameter {
-  std::string_view name;  ///< as it is written to clients
+  std::string_view name;  ///< as reported to clients
   std::string_view default_value;
-  bool is_forwarded;  ///< changes answers: engines are given it with each query
-  bool is_reported;  ///< by ParameterStatus
+  bool is_forwarded;  ///< affects answers, so it is set at an engine with each query
+  bool is_reported;  ///< in ParameterStatus messages
 };
-/// By its name in any case; null where it is not known.
+/// Finds a parameter by its case-insensitive name; null if it is unknown.
 const Parameter* find_parameter(std::string_view name);
 std::vector<Parameter> reported_parameters();
 
-/// A time such as "1500", "1500ms", "2s", "1min" or "1h" in milliseconds; nothing where it is malformed.
+/// A time such as "1500", "1500ms", "2s", "1min" or "1h" in milliseconds; nothing if it is malformed.
 std::optional<long> read_milliseconds(std::string_view text);
 
 }  // namespace paddlestand::pg
--- a/src/protocol/pg/text.cpp
+++ b/src/protocol/pg/text.cpp
@@ -7,7 +7,8 @@
 namespace paddlestand::pg {
 namespace {
 
-/// How many continuation bytes follow this first byte of a character; nothing where none begins with it.
+/// The number of continuation bytes after this first byte of a character; nothing if it is invalid as a
+/// first byte.
 std::optional<std::size_t> continuation_count(unsigned char lead) {
   if (lead < 0x80) return 0;
   if (lead >= 0xc2 && lead < 0xe0) return 1;
@@ -21,13 +22,13 @@
                      [](char byte) { return (static_cast<unsigned char>(byte) & 0xc0U) == 0x80; });
 }
 
-/// Whether a character of three or four bytes may begin with these two.
+/// Whether these two bytes may begin a multi-byte character.
 bool is_allowed_start(unsigned char lead, unsigned char second) {
   switch (lead) {
-    case 0xe0: return second >= 0xa0;  // else overlong
-    case 0xed: return second < 0xa0;  // else a surrogate
-    case 0xf0: return second >= 0x90;  // else overlong
-    case 0xf4: return second < 0x90;  // else above U+10FFFF
+    case 0xe0: return second >= 0xa0;  // otherwise overlong
+    case 0xed: return second < 0xa0;  // otherwise a surrogate
+    case 0xf0: return second >= 0x90;  // otherwise overlong
+    case 0xf4: return second < 0x90;  // otherwise above U+10FFFF
     default: return true;
   }
 }
--- a/src/protocol/pg/text.hpp
+++ b/src/protocol/pg/text.hpp
@@ -1,4 +1,4 @@
-/// Text as PostgreSQL's clients send it: case folding of ASCII names, and whether it is UTF-8.
+/// Helpers for text from PostgreSQL's clients: conversion to lower case and UTF-8 validation.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace paddlestand::pg {
 
-/// With ASCII letters in lower case.
+/// Converts ASCII letters to lower case.
 [[nodiscard]] std::string to_lower(std::string_view text);
 
 /// Whether the text is well-formed UTF-8 (RFC 3629): no overlong forms, no surrogates, nothing above
--- a/src/protocol/sql/scan.hpp
+++ b/src/protocol/sql/scan.hpp
@@ -1,6 +1,6 @@
-/// A lexical scan of SQL text: where statements end, their first words, and the comments, with PostgreSQL's
-/// rules for quotes, dollar quotes, escapes and nested comments (PostgreSQL manual, section 4.1). No grammar,
-/// no I/O.
+/// Lexical scanner for SQL text. Finds the ends of statements, their first tokens and the comments, with
+/// PostgreSQL's rules for quotes, dollar quotes, escapes and nested comments (PostgreSQL manual,
+/// section 4.1). No grammar, no I/O.
 #pragma once
 
 #include <string>
@@ -11,23 +11,23 @@
 
 /// One statement of a text.
 struct Statement {
-  /// The first few words: names in lower case, numbers, signs; a quoted name with its quotes, and a literal
-  /// as ' and the beginning of its contents.
-  std::vector<std::string> words;
+  /// The first tokens: names in lower case, numbers and operator characters; quoted names with their quotes;
+  /// a literal as ' followed by the beginning of its contents.
+  std::vector<std::string> tokens;
   std::string_view text;  ///< without the semicolon
 };
 
-/// What was found. Views point into the text that was scanned.
+/// The result of a scan. Views point into the scanned text.
 struct Scanned {
-  std::vector<Statement> statements;  ///< without empty ones
-  std::vector<std::string_view> comments;  ///< the insides of block comments
-  bool too_many = false;  ///< there are more statements than are scanned
+  std::vector<Statement> statements;  ///< without empty statements
+  std::vector<std::string_view> comments;  ///< the contents of block comments
+  bool has_too_many_statements = false;  ///< more than max_statements; the others are not stored
 };
 
 inline constexpr std::size_t max_statements = 1000;
-inline constexpr std::size_t default_max_words = 8;
+inline constexpr std::size_t default_max_tokens = 8;
 
-/// Scans a text; keeps at most so many words of each statement.
-Scanned scan(std::string_view text, std::size_t words = default_max_words);
+/// Scans a text and stores at most `max_tokens` tokens of each statement.
+Scanned scan(std::string_view text, std::size_t max_tokens = default_max_tokens);
 
 }  // namespace paddlestand::sql
--- a/src/protocol/sql/tables.cpp
+++ b/src/protocol/sql/tables.cpp
@@ -10,13 +10,14 @@
 namespace paddlestand::sql {
 namespace {
 
-constexpr std::size_t max_words = 4096;  // of a statement: tables are named early in it
+constexpr std::size_t max_tokens = 4096;  // of a statement; tables are named near its beginning
 
 std::optional<std::uint32_t> number_of(std::string_view schema) {
   if (schema.size() >= 2 && schema.front() == '"' && schema.back() == '"')
     schema = schema.substr(1, schema.size() - 2);
   const auto underscore = schema.rfind('_');
-  if (underscore == std::string_view::npos) return std::nullopt;  // as `staging`, which is no group's
+  if (underscore == std::string_view::npos)
+    return std::nullopt;  // such as `staging`, which belongs to no group
   std::uint32_t number = 0;
   const char* const last = schema.data() + schema.size();
   const auto [end, error] = std::from_chars(schema.data() + underscore + 1, last, number);
@@ -24,34 +25,36 @@
   return number;
 }
 
-bool is_name(const std::string& word) {
-  const char c = word.front();
+bool is_name(const std::string& token) {
+  const char c = token.front();
   return c == '"' || c == '_' || (c >= 'a' && c <= 'z') || static_cast<unsigned char>(c) >= 128;
 }
 
 }  // namespace
 
-// A table is named after FROM, JOIN, INTO, UPDATE or TABLE, or behind a comma there; an alias before a column
-// may look like a schema, and counts only where no table was found.
+// A schema that follows FROM, JOIN, INTO, UPDATE, TABLE or USING belongs to a table. Any other qualified name
+// may be an alias and its column, and counts only if no table was found.
 std::optional<std::uint32_t> table_group(std::string_view statement) {
-  constexpr std::array<std::string_view, 6> leads{"from", "join", "into", "update", "table", "using"};
-  std::optional<std::uint32_t> other;
-  for (const Statement& one : scan(statement, max_words).statements) {
-    const auto& words = one.words;
-    for (std::size_t i = 0; i + 2 < words.size(); ++i) {
-      if (words[i + 1] != "." || !is_name(words[i]) || !is_name(words[i + 2])) continue;
-      if (i + 4 < words.size() && words[i + 3] == "." && is_name(words[i + 4])) continue;  // a catalog
-      const auto group = number_of(words[i]);
+  constexpr std::array<std::string_view, 6> table_keywords{"from",   "join",  "into",
+                                                           "update", "table", "using"};
+  std::optional<std::uint32_t> fallback;
+  for (const Statement& parsed : scan(statement, max_tokens).statements) {
+    const auto& tokens = parsed.tokens;
+    for (std::size_t i = 0; i + 2 < tokens.size(); ++i) {
+      if (tokens[i + 1] != "." || !is_name(tokens[i]) || !is_name(tokens[i + 2])) continue;
+      if (i + 4 < tokens.size() && tokens[i + 3] == "." && is_name(tokens[i + 4]))
+        continue;  // this name is a catalog
+      const auto group = number_of(tokens[i]);
       if (!group) continue;
       std::size_t before = i;
-      while (before >= 2 && words[before - 1] == ".") before -= 2;
-      const bool table =
-          before > 0 && std::find(leads.begin(), leads.end(), words[before - 1]) != leads.end();
-      if (table) return group;
-      if (!other) other = group;
+      while (before >= 2 && tokens[before - 1] == ".") before -= 2;
+      const bool is_table = before > 0 && std::find(table_keywords.begin(), table_keywords.end(),
+                                                    tokens[before - 1]) != table_keywords.end();
+      if (is_table) return group;
+      if (!fallback) fallback = group;
     }
   }
-  return other;
+  return fallback;
 }
 
 }  // namespace paddlestand::sql
--- a/src/service/client_session.cpp
+++ b/src/service/client_session.cpp
@@ -104,7 +104,7 @@
 }
 
 bool ClientSession::is_read_ahead_full() const {
-  return (frontend_.busy() || is_output_full_) && frontend_.waiting() >= max_read_ahead_bytes;
+  return (frontend_.busy() || is_output_full_) && frontend_.buffered_bytes() >= max_read_ahead_bytes;
 }
 
 asio::awaitable<void> ClientSession::read_loop() {
--- a/src/service/engine_channel.cpp
+++ b/src/service/engine_channel.cpp
@@ -110,14 +110,14 @@
   const std::size_t new_bytes = protocol_.answer().size() - reported_bytes_;
   if (std::holds_alternative<pg::BackendReady>(event)) {
     server_.dispatch(core::ChannelOpened{id_});
-  } else if (const auto* refused = std::get_if<pg::BackendRefused>(&event)) {
+  } else if (const auto* refused = std::get_if<pg::BackendLoginRejected>(&event)) {
     server_.log().info(observe::LogEvent::engine_channel_failed,
                        {{Field::channel, id_},
                         {Field::sqlstate, refused->error.code},
                         {Field::reason, refused->error.message}},
                        "rejected");
     report_loss(core::ChannelLossReason::refused);
-  } else if (const auto* broken = std::get_if<pg::BackendBroken>(&event)) {
+  } else if (const auto* broken = std::get_if<pg::BackendProtocolError>(&event)) {
     server_.log().warn(observe::LogEvent::engine_channel_failed,
                        {{Field::channel, id_}, {Field::reason, broken->what}}, "closed");
     report_loss(core::ChannelLossReason::protocol_error);
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -94,7 +94,7 @@
   const auto channel = channels_.find(action.channel);
   const auto session = sessions_.session_of(action.query);
   if (!session) return core::WriteResult::suppressed;
-  const std::string bytes = channel->protocol().flight(session->query(), action.priority, action.memory_mb);
+  const std::string bytes = channel->protocol().encode_query(session->query(), action.priority, action.memory_mb);
   std::optional<core::WriteResult> result;
   while (!result) {
     // The client may have closed since its session was last read, or while the process was stopped: a query
--- a/src/service/side_connections.cpp
+++ b/src/service/side_connections.cpp
@@ -36,7 +36,7 @@
   co_await socket.async_connect(engine, asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
   std::string bytes;
-  pg::put_cancel(bytes, key);
+  pg::put_cancel_request(bytes, key);
   co_await asio::async_write(socket, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
   std::array<char, 16> unused{};
   co_await socket.async_read_some(asio::buffer(unused), asio::redirect_error(asio::use_awaitable, error));
@@ -50,7 +50,7 @@
     if (!std::holds_alternative<pg::BackendReady>(event)) return false;
     pg::EngineQuery query;
     pg::put_query(query.bytes, statement);
-    out += connection.flight(query, update_priority, 0);
+    out += connection.encode_query(query, update_priority, 0);
   }
   return true;
 }
--- a/test_engine/session_query.cpp
+++ b/test_engine/session_query.cpp
@@ -39,12 +39,12 @@
     return true;
   }
   for (const auto& statement : scanned.statements) {
-    if (is_set_terms(statement.words)) {
+    if (is_set_terms(statement.tokens)) {
       execute_set_terms(text);
       return true;
     }
-    if (statement.words[0] != "set" && statement.words[0] != "reset") return false;
-    execute_set(statement.words);
+    if (statement.tokens[0] != "set" && statement.tokens[0] != "reset") return false;
+    execute_set(statement.tokens);
   }
   return true;
 }
--- a/tests/protocol/pg_backend_answer_test.cpp
+++ b/tests/protocol/pg_backend_answer_test.cpp
@@ -12,7 +12,7 @@
 TEST(BackendConnection, SettingsAreSentBeforeTheQueryOnlyWhereTheyDiffer) {
   LoggedInConnection engine;
 
-  EXPECT_EQ(types_of(engine.connection.flight(simple_query("select 1"), 2, 100)), "QQ");
+  EXPECT_EQ(types_of(engine.connection.encode_query(simple_query("select 1"), 2, 100)), "QQ");
 
   engine.feed(answer_to_set() + engine_answer("x"));
 
@@ -23,7 +23,7 @@
   EXPECT_EQ(end.report.queries, 3);
   EXPECT_EQ(types_of(engine.connection.answer()), "TDC");  // the engine's reports are not for the client
 
-  EXPECT_EQ(types_of(engine.connection.flight(simple_query("select 1"), 2, 100)), "Q");
+  EXPECT_EQ(types_of(engine.connection.encode_query(simple_query("select 1"), 2, 100)), "Q");
 
   EXPECT_EQ(settings_change({{"work_mem", "5MB"}, {"timezone", "UTC"}}, {{"timezone", "X'Y"}}),
             "RESET work_mem;SET timezone='X''Y';");
@@ -31,7 +31,7 @@
 
 TEST(BackendConnection, ReadsAnAnswerByteByByte) {
   LoggedInConnection engine;
-  engine.connection.flight(simple_query("select 1"), 0, 0);
+  engine.connection.encode_query(simple_query("select 1"), 0, 0);
 
   for (const char c : answer_to_set() + engine_answer("x")) engine.feed({&c, 1});
 
@@ -41,7 +41,7 @@
 
 TEST(BackendConnection, AnOpenTransactionMakesTheConnectionNotReusable) {
   LoggedInConnection engine;
-  engine.connection.flight(simple_query("select 1"), 0, 0);
+  engine.connection.encode_query(simple_query("select 1"), 0, 0);
   std::string set_answer;
   put_ready(set_answer, 'I');
 
@@ -53,7 +53,7 @@
 TEST(BackendConnection, ErrorsAreClassifiedBySqlstate) {
   const auto ending = [](const char* code) {
     LoggedInConnection engine;
-    engine.connection.flight(simple_query("select 1"), 0, 0);
+    engine.connection.encode_query(simple_query("select 1"), 0, 0);
     std::string bytes;
     put_ready(bytes, 'I');
     put_error(bytes, error(code, "x"));
@@ -75,7 +75,7 @@
 
 TEST(BackendConnection, ProgressNoticesAreNotPassedToTheClient) {
   LoggedInConnection engine;
-  engine.connection.flight(simple_query("select 1"), 0, 0);
+  engine.connection.encode_query(simple_query("select 1"), 0, 0);
   std::string bytes;
   put_ready(bytes, 'I');
   put_notice(bytes, {"NOTICE", "01P5T", "progress=0.25", "", ""});
--- a/tests/protocol/pg_backend_limits_test.cpp
+++ b/tests/protocol/pg_backend_limits_test.cpp
@@ -8,7 +8,7 @@
 
 TEST(BackendConnection, LargeRowsPassThroughAndOtherLargeMessagesAreRejected) {
   LoggedInConnection engine;
-  engine.connection.flight(simple_query("select 1"), 0, 0);
+  engine.connection.encode_query(simple_query("select 1"), 0, 0);
   std::string set_answer;
   put_ready(set_answer, 'I');
   std::string row;
@@ -24,7 +24,7 @@
   EXPECT_FALSE(engine.connection.mid_message());
 
   engine.feed({"S\x10\0\0\0", 5});
-  EXPECT_TRUE(std::holds_alternative<BackendBroken>(engine.events.back()));
+  EXPECT_TRUE(std::holds_alternative<BackendProtocolError>(engine.events.back()));
 }
 
 TEST(BackendConnection, ProtocolViolationsBreakIt) {
@@ -34,7 +34,7 @@
     engine.feed(bytes);
 
     ASSERT_FALSE(engine.events.empty());
-    EXPECT_TRUE(std::holds_alternative<BackendBroken>(engine.events.back()));
+    EXPECT_TRUE(std::holds_alternative<BackendProtocolError>(engine.events.back()));
     EXPECT_EQ(engine.events.size(), 1U);
   }
 }
--- a/tests/protocol/pg_extended_query_test.cpp
+++ b/tests/protocol/pg_extended_query_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_EQ(types_of(request->query.bytes), "PS");
 
   BackendAnswerEnd end;
-  end.parses_shown = 1;
+  end.client_parses_completed = 1;
   session.frontend.request_done(end);
 
   bytes.clear();
@@ -37,7 +37,7 @@
   request = session.next_request();
   ASSERT_TRUE(request);
   EXPECT_EQ(types_of(request->query.bytes), "PBEBES");  // one Parse for both
-  EXPECT_EQ(request->query.parse_shown, std::vector<bool>{false});
+  EXPECT_EQ(request->query.parse_from_client, std::vector<bool>{false});
   EXPECT_EQ(request->text, "select $1");
 
   session.extract_output();
@@ -120,7 +120,7 @@
     session.frontend.feed(bytes);
     if (session.next_request()) {
       BackendAnswerEnd end;
-      end.parses_shown = 1;
+      end.client_parses_completed = 1;
       session.frontend.request_done(end);
     }
   }
--- a/tests/protocol/pg_fixtures.hpp
+++ b/tests/protocol/pg_fixtures.hpp
@@ -23,7 +23,7 @@
   FrameReader reader(1U << 20U);
   reader.feed(bytes);
   while (const auto frame = reader.next()) types.push_back(frame->type);
-  EXPECT_EQ(reader.waiting(), 0U);
+  EXPECT_EQ(reader.buffered_bytes(), 0U);
   return types;
 }
 
--- a/tests/protocol/sql_test.cpp
+++ b/tests/protocol/sql_test.cpp
@@ -12,8 +12,8 @@
       scan("select 'a;b', E'c\\';d', $x$;$x$, \"e;f\" -- ;\n; /* ; /* ; */ ; */ Insert into t; ;");
 
   ASSERT_EQ(scanned.statements.size(), 2U);
-  EXPECT_EQ(scanned.statements[0].words[0], "select");
-  EXPECT_EQ(scanned.statements[1].words[0], "insert");
+  EXPECT_EQ(scanned.statements[0].tokens[0], "select");
+  EXPECT_EQ(scanned.statements[1].tokens[0], "insert");
   ASSERT_EQ(scanned.comments.size(), 1U);
   EXPECT_EQ(scanned.comments[0], " ; /* ; */ ; ");
 }
--- a/tests/service/failure_fixtures.hpp
+++ b/tests/service/failure_fixtures.hpp
@@ -148,7 +148,7 @@
     connection.feed(bytes, events, reply);
     client.send(reply);
   }
-  if (const auto* refused = std::get_if<pg::BackendRefused>(&events[0])) return refused->error.code;
+  if (const auto* refused = std::get_if<pg::BackendLoginRejected>(&events[0])) return refused->error.code;
   return std::holds_alternative<pg::BackendReady>(events[0]) ? "in" : "broken";
 }
 
