--- a/src/platform/client.cpp
+++ b/src/platform/client.cpp
@@ -110,7 +110,7 @@
   if (!socket_.shut_down_sending()) close("its connection is gone");
 }
 
-bool Client::may_have_input() { return !is_closed() && !socket_.surely_empty(); }
+bool Client::may_have_input() { return !is_closed() && !socket_.is_receive_buffer_empty(); }
 
 void Client::check_timeouts(TimePoint now) {
   if (is_closed()) return;
--- a/src/platform/engine_connection.cpp
+++ b/src/platform/engine_connection.cpp
@@ -73,7 +73,7 @@
       [this](const service::ConnectFailure& why, bool again) {
         listener_.on_connect_failure(target_.engine, why.error, again ? ConnectRetry::yes : ConnectRetry::no);
       });
-  if (failure && !is_closed_) lose(service::loss_of(*failure), failure->error.message());
+  if (failure && !is_closed_) lose(service::loss_reason_of(*failure), failure->error.message());
   co_return !failure && !is_closed_;
 }
 
--- a/src/service/asio_headers.hpp
+++ b/src/service/asio_headers.hpp
@@ -1,4 +1,5 @@
-/// The precompiled headers of all code that uses Asio. No file relies on them: each includes what it uses.
+/// Headers to precompile for all targets that use Asio. No source file relies on them: each includes what it
+/// uses.
 #pragma once
 
 #include <algorithm>
--- a/src/service/boost_asio.cpp
+++ b/src/service/boost_asio.cpp
@@ -1,2 +1,2 @@
-// Asio's sources, compiled once for all libraries that link to it.
+// Compiles Asio's sources once for all libraries that link to them.
 #include <boost/asio/impl/src.hpp>
--- a/src/service/client_session.cpp
+++ b/src/service/client_session.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-// Of what is pipelined behind a request in flight; reading ahead finds out that the client has closed.
+// Limit of the input buffered behind a request in flight. Reading ahead detects that the client has closed.
 constexpr std::size_t max_read_ahead_bytes = std::size_t{64} * 1024;
 constexpr std::size_t retained_buffer_bytes =
-    std::size_t{64} * 1024;  // a larger buffer is freed once it is empty
+    std::size_t{64} * 1024;  // larger buffers are freed once they are empty
 
 void free_buffer(std::string& buffer) { std::string().swap(buffer); }
 
@@ -65,7 +65,7 @@
 void ClientSession::begin_shutdown() {
   is_server_shutting_down_ = true;
   if (state_ != State::open || frontend_.busy()) return;
-  auto error = pg::error("57P01", "the workload manager is leaving", "repeat=harmless");
+  auto error = pg::error("57P01", "the workload manager is shutting down", "repeat=harmless");
   error.severity = "FATAL";
   pg::put_error(output_, error);
   begin_closing();
@@ -130,8 +130,8 @@
       process_input();
       break;
     case IoStatus::end_of_input:
-      // A client may shut down its sending side and still wait for its answers: PostgreSQL's clients don't,
-      // and a query nobody waits for must not occupy an engine.
+      // TCP lets a client shut down its sending side and still wait for answers. PostgreSQL's clients don't,
+      // and an abandoned query must not occupy an engine.
     case IoStatus::ended: close(); break;
     case IoStatus::outdated:
     case IoStatus::would_block:
@@ -140,13 +140,13 @@
   return received.status;
 }
 
-/// Handles what the client has sent, until its next message is incomplete, a request is in flight, or the
-/// client has too much to read.
+/// Handles buffered messages of the client until the next one is incomplete, a request is in flight, or the
+/// output exceeds the client's window.
 void ClientSession::process_input() {
-  if (is_processing_) return;  // called while a request is submitted: the loop below continues
+  if (is_processing_) return;  // re-entered from handle(): the outer call's loop continues
   is_processing_ = true;
   while (state_ == State::open) {
-    // A client that pipelines and does not read must not pile up answers beyond its window.
+    // Bounds the answers buffered for a client that pipelines requests without reading.
     is_output_full_ = !has_output_capacity();
     if (is_output_full_) break;
     auto event = frontend_.next();
@@ -189,7 +189,7 @@
     output_ += bytes;
   }
   bytes.clear();
-  // The end of a short answer follows at once: one write serves both.
+  // Small parts are not flushed here: the end of a short answer usually follows, and one write sends both.
   if (output_.size() >= retained_buffer_bytes) flush();
 }
 
@@ -199,8 +199,9 @@
   if (answer.kind == core::AnswerKind::served && end != nullptr) {
     frontend_.request_done(*end);
   } else if (is_mid_message_) {
-    // The remainder of the message will never come, and an error can't stand inside it.
-    server_.log().warn(observe::LogEvent::connection_aborted, {{Field::session, id_}}, "inside a row");
+    // The rest of the message will not arrive, and an ErrorResponse cannot be sent inside another message.
+    server_.log().warn(observe::LogEvent::connection_aborted, {{Field::session, id_}},
+                       "the answer ended inside a row");
     close_gracefully();
     return;
   } else {
@@ -208,7 +209,7 @@
   }
   queue_frontend_output();
   wakeup_.cancel();
-  if (is_processing_) return;  // the loop in process_input() continues
+  if (is_processing_) return;  // the loop of the outer process_input() continues
   flush();
   process_input();
   if (is_server_shutting_down_) begin_shutdown();
@@ -240,7 +241,7 @@
   server_.dispatch(core::ClientConsumed{id_, delivered});
 }
 
-/// Writes what is queued, until the socket takes no more or the connection has ended.
+/// Writes queued output until the queue is empty, the socket would block or the connection has ended.
 IoStatus ClientSession::write_pending() {
   for (;;) {
     if (written_ == writing_.size()) {
@@ -260,7 +261,7 @@
 
 void ClientSession::flush() {
   if (state_ == State::closed || is_writing_) return;
-  is_writing_ = true;  // the core may deliver more while it is notified of bytes written
+  is_writing_ = true;  // ClientConsumed events may deliver more output and call flush() again
   const IoStatus status = write_pending();
   is_writing_ = false;
   if (state_ == State::closed) return;
--- a/src/service/client_session.hpp
+++ b/src/service/client_session.hpp
@@ -1,4 +1,5 @@
-/// A client's connection: its bytes to the frontend session, and what that and the engines answer back to it.
+/// A client's connection: feeds its bytes to the frontend session, and writes the answers of the session and
+/// of the engines.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -12,8 +13,8 @@
 
 namespace paddlestand::service {
 
-/// Reads, writes and closes the connection of one client. Owned by the server's registry and by the
-/// coroutines that run for it; used on the loop's thread. `server` must outlive it.
+/// Reads, writes and closes the connection of one client. Owned by the server's registry and by its running
+/// coroutines. Used only on the event loop's thread. `server` must outlive it.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -21,42 +22,43 @@
 
   ClientSession(PostgresServer& server, tcp::socket socket, core::SessionId id, pg::CancelKey key);
 
-  /// Begins to read.
+  /// Starts the read loop.
   void start();
-  /// Closes the connection at once. Unread bytes reset it: for clients that have closed or that don't read.
+  /// Closes the connection immediately. Input that was not read resets it, so this is only for clients that
+  /// have closed their side or do not read.
   void close();
 
-  /// Queues an engine's answer, or part of it, for the client; `bytes` is empty then. `mid_message`: the last
-  /// message of it is incomplete.
+  /// Queues an engine's answer, or part of it, for the client and leaves `bytes` empty. `mid_message`: its
+  /// last message is incomplete.
   void deliver(std::string& bytes, bool mid_message);
-  /// The final answer of the request in flight. `end`: what the engine reported at its end, if it served the
-  /// request.
+  /// Handles the final answer to the request in flight. `end`: what the engine reported at the end of its
+  /// answer, if it served the request.
   void on_answer(const core::Answer& answer, const pg::BackendAnswerEnd* end);
 
-  /// Whether the client has not closed its side, as far as this machine knows. Closes the session if it has.
+  /// Whether the client's side is open, as far as this machine knows. Closes the session if it is not.
   bool check_connected();
 
-  /// The server shuts down: the client is notified and the connection closed, once no request is in flight.
+  /// Notifies the client of the server's shutdown and closes the connection, once no request is in flight.
   void begin_shutdown();
 
-  /// Answers a request that never reached the core with an error.
+  /// Answers a request that was not passed to the core with an error.
   void reject_request(const pg::Fields& error);
 
-  /// Closes a client that does not log in or does not read in time.
+  /// Closes the session if the client did not log in or read its answers within the time limits.
   void sweep(Clock::time_point now);
 
   [[nodiscard]] core::SessionId id() const { return id_; }
   [[nodiscard]] pg::CancelKey key() const { return key_; }
   [[nodiscard]] const pg::FrontendSession& frontend() const { return frontend_; }
 
-  /// The query of the request in flight, kept until its final answer: it may have to be sent again.
+  /// The query of the request in flight, stored until its final answer because a retry sends it again.
   void set_query(pg::EngineQuery query) { query_ = std::move(query); }
   [[nodiscard]] const pg::EngineQuery& query() const { return query_; }
 
  private:
   enum class State : std::uint8_t {
     open,
-    closing,  ///< reads no more, and closes once everything is written
+    closing,  ///< no longer reads; closes once all output is written
     closed
   };
 
@@ -84,18 +86,18 @@
   pg::EngineQuery query_;
   std::string output_;  // queued behind writing_
   std::string writing_;
-  std::size_t written_ = 0;  // of writing_
-  std::size_t undelivered_bytes_ = 0;  // of engines' answers, not written yet
+  std::size_t written_ = 0;  // bytes of writing_ already written
+  std::size_t undelivered_bytes_ = 0;  // bytes of engines' answers that are not written yet
   State state_ = State::open;
-  bool is_opened_ = false;  // the core knows of it
+  bool is_opened_ = false;  // SessionOpened was dispatched to the core
   bool is_processing_ = false;  // inside process_input()
-  bool is_writing_ = false;  // write_pending() runs, or waits for the socket
-  bool is_output_full_ = false;  // the next request waits until the client has read
-  bool is_mid_message_ = false;  // the last message delivered is incomplete
+  bool is_writing_ = false;  // write_pending() is running or waiting for the socket
+  bool is_output_full_ = false;  // the next request waits until the client reads its output
+  bool is_mid_message_ = false;  // the last delivered message is incomplete
   bool is_server_shutting_down_ = false;
   Clock::time_point opened_at_;
   Clock::time_point last_write_progress_;
-  boost::asio::steady_timer wakeup_;  // of the reader, while it waits for something other than bytes
+  boost::asio::steady_timer wakeup_;  // wakes the read loop while it does not wait for the socket
 };
 
 }  // namespace paddlestand::service
--- a/src/service/dispatcher_host.cpp
+++ b/src/service/dispatcher_host.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr std::size_t scratch_bytes = std::size_t{256} * 1024;
-constexpr Duration min_stall = std::chrono::milliseconds(10);  // any timer may be late by less
-constexpr Duration stall_memory = std::chrono::milliseconds(50);
+constexpr Duration min_stall = std::chrono::milliseconds(10);  // smaller delays of a timer are normal
+constexpr Duration recent_stall_window = std::chrono::milliseconds(50);
 
 TimePoint steady_now() { return steady_clock::now().time_since_epoch(); }
 
 }  // namespace
 
-core::ChannelLossReason loss_of(const ConnectFailure& failure) {
+core::ChannelLossReason loss_reason_of(const ConnectFailure& failure) {
   return failure.verdict == core::CallVerdict::refused ? core::ChannelLossReason::refused
                                                        : core::ChannelLossReason::local;
 }
@@ -27,14 +27,14 @@
       log_(log, name),
       dispatcher_(core, true),
       timer_(io),
-      last_look_(steady_now()),
+      last_clock_read_(steady_now()),
       resumes_(ResumeMonitor::count()),
       scratch_(scratch_bytes) {}
 
 void DispatcherHost::dispatch(core::CoreEvent event) {
   const bool first = !dispatcher_.is_dispatching();
   dispatcher_.dispatch(std::move(event), *this);
-  if (first) arm_timer();  // once a turn: what becomes due in its middle may not be due at its end
+  if (first) arm_timer();  // once per turn: later events of a turn may cancel timers set by earlier ones
 }
 
 TimePoint DispatcherHost::now() {
@@ -43,17 +43,17 @@
   do {
     resumes = ResumeMonitor::count();
     now = steady_now();
-  } while (ResumeMonitor::count() != resumes);  // stopped between the two
-  if (resumes != resumes_) stops_.add(last_look_, now);
+  } while (ResumeMonitor::count() != resumes);  // the process was stopped between the two calls
+  if (resumes != resumes_) stops_.add(last_clock_read_, now);
   resumes_ = resumes;
-  last_look_ = now;
+  last_clock_read_ = now;
   return now;
 }
 
 Duration DispatcherHost::event_loop_lag() {
   const TimePoint now = this->now();
-  // What arrived during a stall is read in the turns right after it, before or after the timer's own.
-  const Duration recent = now - last_stall_at_ < stall_memory ? last_stall_ : Duration{};
+  // Input that arrived during a stall is read in the turns right after it, before or after the timer fires.
+  const Duration recent = now - last_stall_at_ < recent_stall_window ? last_stall_ : Duration{};
   const Duration pending = armed_for_ ? now - *armed_for_ : Duration{};
   return std::max({Duration{0}, recent, pending, stops_.delay(now)});
 }
--- a/src/service/dispatcher_host.hpp
+++ b/src/service/dispatcher_host.hpp
@@ -1,5 +1,5 @@
-/// What the hosts of the event dispatcher on sockets share: the loop, the clock, the one timer, the log. The
-/// protocols spoken on either side are the derived host's.
+/// Common base of the event dispatcher's hosts that use sockets: event loop, clock, timer and log. Derived
+/// hosts implement the protocols of clients and engines.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -21,25 +21,25 @@
 
 namespace paddlestand::service {
 
-/// The reason for a channel's loss when its connection could not be made.
-core::ChannelLossReason loss_of(const ConnectFailure& failure);
+/// The reason to report for a channel whose connection could not be established.
+core::ChannelLossReason loss_reason_of(const ConnectFailure& failure);
 
-/// Runs the core's event dispatcher on an io_context. Used on the loop's thread alone.
+/// Runs the core's event dispatcher on an io_context. Used only on the event loop's thread.
 class DispatcherHost : protected core::HostInterface {
  public:
   DispatcherHost(const DispatcherHost&) = delete;
   DispatcherHost& operator=(const DispatcherHost&) = delete;
 
-  /// Dispatches an event now, or right after the one that is being dispatched.
+  /// Dispatches an event immediately, or right after the event that is currently being dispatched.
   void dispatch(core::CoreEvent event);
 
-  /// The time on the core's clock, which is the steady clock.
-  [[nodiscard]] TimePoint reading() { return now(); }
+  /// The current time of the core's clock, which is the steady clock.
+  [[nodiscard]] TimePoint current_time() { return now(); }
   [[nodiscard]] core::Counts counts() const { return dispatcher_.counts(); }
   [[nodiscard]] observe::Log& log() { return log_; }
   [[nodiscard]] const core::ViolationCounter& violations() const { return violations_; }
   [[nodiscard]] boost::asio::io_context& io() { return io_; }
-  /// One buffer for all reads: no view into it may be held over a suspension.
+  /// One buffer shared by all reads: no view into it may be held across a suspension.
   [[nodiscard]] std::span<char> scratch() { return scratch_; }
 
  protected:
@@ -54,10 +54,10 @@
 
   /// Stops the loop and the dispatcher.
   void stop();
-  /// By how much the loop lags behind, as seen by its own timer: what is read now may have arrived that much
-  /// earlier.
+  /// How far the event loop is behind, measured by its timer: input that is read now may have arrived that
+  /// much earlier.
   [[nodiscard]] Duration event_loop_lag();
-  /// Counts what must never happen, and logs the first of each kind. `subject`: what it happened to.
+  /// Counts a violation and logs the first of each kind. `subject`: the object that it concerns.
   void count(core::Violation violation, const observe::LogField& subject);
 
   boost::asio::io_context& io_;
@@ -67,17 +67,17 @@
   bool stopped_ = false;
 
  private:
-  /// Sets the timer to the dispatcher's next due time.
+  /// Sets the timer to the time of the dispatcher's next timer.
   void arm_timer();
   void on_timer();
 
   boost::asio::steady_timer timer_;
   std::optional<TimePoint> armed_for_;
-  TimePoint last_stall_at_{};  // when the timer was last late
-  Duration last_stall_{};  // and by how much
+  TimePoint last_stall_at_{};  // when the timer last fired late
+  Duration last_stall_{};  // how late it fired then
   core::RecentStops stops_;
-  TimePoint last_look_{};  // at the clock
-  ResumeCount resumes_ = 0;  // as of the last look
+  TimePoint last_clock_read_{};
+  ResumeCount resumes_ = 0;  // as of last_clock_read_
   core::ViolationCounter violations_;
   std::vector<char> scratch_;
 };
--- a/src/service/engine_channel.cpp
+++ b/src/service/engine_channel.cpp
@@ -17,7 +17,7 @@
       id_(id),
       endpoint_(std::move(endpoint)),
       socket_(server.io()),
-      opened_at_(server.reading()),
+      opened_at_(server.current_time()),
       wakeup_(server.io()) {
   wakeup_.expires_at(steady_clock::time_point::max());
 }
@@ -44,16 +44,16 @@
 
 // ---- Connecting ----
 
-/// Whether the connection was made, and the channel not closed meanwhile.
+/// Returns whether the connection was established and the channel was not closed in the meantime.
 asio::awaitable<bool> EngineChannel::connect() {
   const auto failure = co_await connect_before(
       socket_, endpoint_, opened_at_ + server_.config().core.connect_timeout, [this] { return is_closed_; },
       [](const ConnectFailure&, bool) {});
-  if (failure && !is_closed_) report_loss(loss_of(*failure));
+  if (failure && !is_closed_) report_loss(loss_reason_of(*failure));
   co_return !failure && !is_closed_;
 }
 
-/// Writes messages of the login. If that fails, the next read finds it out.
+/// Writes messages of the login. A failure is detected and reported by the next read.
 asio::awaitable<void> EngineChannel::write_login(std::string bytes) {
   const auto self = shared_from_this();
   while (!is_closed_ && !bytes.empty()) {
@@ -151,15 +151,16 @@
   written_ = first.bytes;
   facts_as_of_ = facts_as_of;
   const IoStatus status = first.status == IoStatus::progress ? write_pending() : first.status;
-  // The reader will find the same; reported now, since no complete query was written.
+  // The read loop would detect this too, but here it is certain that no complete query was sent.
   if (status == IoStatus::ended) return core::WriteResult::failed;
   if (status == IoStatus::progress) return core::WriteResult::complete;
   spawn_with(server_.io(), [self = shared_from_this()] { return self->write_remaining(); });
   return core::WriteResult::partial;
 }
 
-/// Writes what is left of the query, until the socket takes no more, the connection has ended, or the process
-/// was stopped: the client may have left since, and without its rest the query does not begin.
+/// Writes the remaining bytes of the query until the socket would block, the connection has ended, or the
+/// process was stopped and resumed. The client may have closed during a stop, and the engine does not start
+/// an incomplete query.
 IoStatus EngineChannel::write_pending() {
   while (written_ < writing_.size()) {
     const IoResult sent =
@@ -172,9 +173,9 @@
   return IoStatus::progress;
 }
 
-/// Waits for the socket and writes in one turn of the loop: an asynchronous write would hand over the last
-/// byte in the reactor, and whatever is dispatched before its completion would still take the query for one
-/// not sent.
+/// Waits for the socket and then writes in the same turn of the event loop. An asynchronous write would send
+/// the last byte in the reactor, and events dispatched before its completion handler would still treat the
+/// query as not sent.
 asio::awaitable<void> EngineChannel::write_remaining() {
   const auto self = shared_from_this();
   IoStatus last = IoStatus::would_block;
--- a/src/service/engine_channels.hpp
+++ b/src/service/engine_channels.hpp
@@ -1,4 +1,4 @@
-/// The channels of a PostgreSQL host to its engines, and where these are reached.
+/// The channels of a PostgreSQL host to its engines, and the engines' addresses.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,23 +15,23 @@
 class EngineChannel;
 class PostgresServer;
 
-/// Owns the open channels. Used on the loop's thread.
+/// Owns the open channels. Used only on the event loop's thread.
 class EngineChannels {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
 
-  /// Where channels to this engine connect from now on. True: it was known at another address before.
+  /// Sets the address for new channels to this engine. Returns true if the engine had another address before.
   bool set_endpoint(EngineId engine, const Endpoint& endpoint);
-  /// Forgets the endpoints of all engines but these, once no channel to another one will be opened.
+  /// Removes the endpoints of all other engines. No channel to them may be opened afterwards.
   void forget_endpoints_except(const std::set<EngineId>& engines);
   [[nodiscard]] bool has_endpoint(EngineId engine) const { return endpoints_.contains(engine); }
-  /// The number of endpoints that are kept.
+  /// The number of engines with a known endpoint.
   [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
 
-  /// Opens a channel to an engine whose endpoint is known, and starts it.
+  /// Creates and starts a channel to an engine whose endpoint is known.
   void open(PostgresServer& server, core::ChannelId id, EngineId engine);
   void close(core::ChannelId id);
-  /// Null where the channel is closed.
+  /// Returns null if the channel is closed.
   [[nodiscard]] std::shared_ptr<EngineChannel> find(core::ChannelId id) const;
 
  private:
@@ -39,16 +39,16 @@
   std::unordered_map<EngineId, Endpoint> endpoints_;
 };
 
-/// What engines reported at the end of their answers, for the sessions that get these. The core doesn't know
-/// the protocol's part of it: it is set aside when the AnswerEnd is queued, and is current while that is
-/// dispatched.
+/// Protocol-specific details that engines report at the end of an answer, for the sessions that receive it.
+/// The core's AnswerEnd event does not carry them: they are stored when the event is queued, and are current
+/// while it is dispatched.
 class AnswerEnds {
  public:
-  /// Before the AnswerEnd of this channel is dispatched.
+  /// To be called before the AnswerEnd of this channel is dispatched.
   void add(core::ChannelId channel, const pg::BackendAnswerEnd& end) { pending_[channel] = end; }
-  /// At the beginning of each event.
+  /// To be called at the start of each event.
   void begin_event(const core::CoreEvent& event);
-  /// The end that belongs to the event being dispatched; null where it is no AnswerEnd.
+  /// The details of the AnswerEnd being dispatched; null for any other event.
   [[nodiscard]] const pg::BackendAnswerEnd* current() const { return current_ ? &*current_ : nullptr; }
 
  private:
--- a/src/service/engine_list_file.cpp
+++ b/src/service/engine_list_file.cpp
@@ -23,7 +23,8 @@
 void EngineListFile::on_missing() {
   if (!is_missing_) {
     log_.warn(observe::LogEvent::engine_list,
-              {{Field::file, config_.engines_file}, {Field::reason, "can't be read"}}, "the last list stays");
+              {{Field::file, config_.engines_file}, {Field::reason, "can't be read"}},
+              "the current engine list stays in use");
   }
   is_missing_ = true;
 }
@@ -42,10 +43,10 @@
   if (const auto* fault = std::get_if<config::Fault>(&read)) {
     if (!(*version == last_faulty_)) {
       log_.warn(observe::LogEvent::engine_list, {{Field::reason, fault->text()}},
-                "the last list stays, it is read again");
+                "the current engine list stays in use; the file is read again at the next poll");
     }
     last_faulty_ = *version;
-    last_read_ = {};  // the same file may be read well in a moment
+    last_read_ = {};  // read the same version again: the error may have been transient
     return std::nullopt;
   }
   auto engines = std::get<std::vector<config::ListedEngine>>(std::move(read));
--- a/src/service/engine_list_file.hpp
+++ b/src/service/engine_list_file.hpp
@@ -12,18 +12,19 @@
 
 namespace paddlestand::service {
 
-/// Reads the engine list when its file changes, and logs what is wrong with it. Both references must outlive
-/// it.
+/// Reads the engine list when its file changes, and logs errors in it. Both references must outlive this
+/// object.
 class EngineListFile {
  public:
   EngineListFile(const config::ManagerConfig& config, observe::Log& log) : config_(config), log_(log) {}
 
-  /// The list, where the file has changed since it was last read well. Nothing where it is unchanged, missing
-  /// or faulty: the list in use stays. A faulty file is read again at each poll, and its fault logged once.
+  /// Returns the list if the file has changed since it was last read successfully. Returns nullopt if it is
+  /// unchanged, missing or invalid; the current list stays in use. An invalid file is read again at each
+  /// poll, and its error is logged once.
   std::optional<std::vector<config::ListedEngine>> read_if_changed();
 
  private:
-  /// What changes when the file is written or replaced.
+  /// File attributes that change when the file is written or replaced.
   struct Version {
     timespec modified{};
     off_t size = -1;
--- a/src/service/graceful_closer.cpp
+++ b/src/service/graceful_closer.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t max_lingering = 256;  // each holds a descriptor for up to a second
+constexpr std::size_t max_lingering = 256;  // each occupies a descriptor for up to a second
 constexpr std::size_t max_rejecting = 64;
 constexpr int max_write_attempts = 16;
 
@@ -43,7 +43,7 @@
     bytes.erase(0, sent.bytes);
     if (sent.status != IoStatus::progress) { co_await pause_for(io_, shortage_pause); }
   }
-  // The startup message is read first: a close over unread bytes would reset the connection and drop the
+  // Lingering reads the startup message: closing with unread input would reset the connection and discard the
   // error.
   co_await linger_and_close(std::move(socket));
   --rejecting_;
--- a/src/service/graceful_closer.hpp
+++ b/src/service/graceful_closer.hpp
@@ -1,4 +1,4 @@
-/// The ends of clients' connections whose last message must still be read.
+/// Closes connections whose last message the client has yet to read.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -10,19 +10,21 @@
 
 namespace paddlestand::service {
 
-/// Closes connections without a reset that would drop what was written last, a bounded number at a time.
-/// Belongs to one host, on its loop's thread, and must live as long as the loop runs.
+/// Closes connections without a reset, which would discard data that the client has not read. The number of
+/// connections closed this way at a time is bounded. Belongs to one host, is used only on its event loop's
+/// thread, and must live as long as the loop runs.
 class GracefulCloser {
  public:
   explicit GracefulCloser(boost::asio::io_context& io) : io_(io) {}
 
-  /// Closes a connection once its client has closed its side, or has had a second for it. Over a bound of
-  /// such connections it is closed at once.
+  /// Closes a connection once its client has closed its side, or after a second. It is closed immediately
+  /// while the maximum number of connections is lingering.
   void close(StreamSocket socket);
 
-  /// Whether another connection may be rejected with a reason: in a flood the others are closed without one.
+  /// Whether another connection may be rejected with an error message. During a flood of connections, those
+  /// beyond the bound are closed without one.
   [[nodiscard]] bool can_reject() const;
-  /// Writes an ErrorResponse to a client that gets no session, and closes its connection.
+  /// Sends an ErrorResponse to a client that gets no session, and closes its connection.
   void reject(StreamSocket socket, const pg::Fields& error);
 
  private:
@@ -30,8 +32,8 @@
   boost::asio::awaitable<void> write_and_linger(StreamSocket socket, std::string bytes);
 
   boost::asio::io_context& io_;
-  std::size_t lingering_ = 0;  // connections that wait for their client to close
-  std::size_t rejecting_ = 0;  // connections that are being rejected with a reason
+  std::size_t lingering_ = 0;  // connections waiting for the client to close
+  std::size_t rejecting_ = 0;  // connections being rejected with an error message
 };
 
 }  // namespace paddlestand::service
--- a/src/service/listener.cpp
+++ b/src/service/listener.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr int max_accepts_per_turn = 256;  // then other work of the loop has its turn
+constexpr int max_accepts_per_turn = 256;  // lets other work of the event loop run
 constexpr Duration min_backoff = 5ms;
 constexpr Duration max_backoff = 50ms;
 constexpr auto max_drain_time = 400ms;
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-Listener::Listener(asio::io_context& io, OnConnection on_connection, OnTrouble on_trouble,
-                   Lateness event_loop_lag)
+Listener::Listener(asio::io_context& io, OnConnection on_connection, OnError on_error,
+                   EventLoopLag event_loop_lag)
     : io_(io),
       on_connection_(std::move(on_connection)),
-      on_error_(std::move(on_trouble)),
+      on_error_(std::move(on_error)),
       event_loop_lag_(std::move(event_loop_lag)),
       acceptor_(io) {}
 
@@ -50,15 +50,15 @@
   }
 }
 
-/// Registers an accepted socket with the loop; false where that fails for a moment: it is retried with the
-/// next batch.
-bool Listener::hand_over(int socket) {
+/// Registers an accepted socket with the event loop. Returns false on a transient failure; the next batch
+/// retries it.
+bool Listener::register_connection(int socket) {
   tcp::socket connection(io_);
   error_code error;
   connection.assign(protocol_, socket, error);
   if (error) {
     unregistered_ = socket;
-    note_error(error);
+    record_error(error);
     return false;
   }
   unregistered_ = -1;
@@ -67,27 +67,27 @@
   return true;
 }
 
-void Listener::note_error(const error_code& error) {
+void Listener::record_error(const error_code& error) {
   if (failing_since_) return;
-  // After a stall of the loop the first failure is late itself: the queue has been waiting since before it.
+  // After a stall of the event loop, the queue had been waiting before this first failure was seen.
   failing_since_ = steady_now() - event_loop_lag_();
-  on_error_(error.message() + "; connections wait");
+  on_error_(error.message() + "; pending connections wait in the accept queue");
 }
 
 Listener::Batch Listener::accept_pending() {
   int count = 0;
   while (count < max_accepts_per_turn && is_open()) {
-    if (unregistered_ >= 0 && !hand_over(unregistered_)) return {IoStatus::retry_later, count};
+    if (unregistered_ >= 0 && !register_connection(unregistered_)) return {IoStatus::retry_later, count};
     const Accepted accepted = service::accept(acceptor_.native_handle());
     if (accepted.status == IoStatus::progress) {
       ++count;
-      hand_over(accepted.socket);
+      register_connection(accepted.socket);
       continue;
     }
     if (accepted.status == IoStatus::would_block) {
       failing_since_.reset();
     } else {
-      note_error(accepted.error);
+      record_error(accepted.error);
     }
     return {accepted.status, count};
   }
@@ -109,7 +109,7 @@
     if (status == IoStatus::would_block) {
       co_await wait_until_pending(backoff);
     } else if (status == IoStatus::progress) {
-      co_await pause_for(io_, Duration{0});  // other work of the loop has its turn
+      co_await pause_for(io_, Duration{0});  // lets other work of the event loop run
     } else {
       co_await pause_for(io_, backoff);
       backoff = std::min(2 * backoff, max_backoff);
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -27,8 +27,8 @@
 constexpr auto sweep_period = 1s;
 constexpr auto signal_period = 50ms;
 constexpr ReloadRetry::Limits reload_limits{100ms, 20};
-constexpr auto last_answers_time = 200ms;  // for clients to read what was written last
-constexpr auto shutdown_margin = 1s;  // beyond the graces of the settings
+constexpr auto last_answers_time = 200ms;  // lets clients read the last output
+constexpr auto shutdown_margin = 1s;  // added to the configured grace periods
 constexpr std::size_t nonce_bytes = 18;
 
 }  // namespace
@@ -70,7 +70,7 @@
 
 void PostgresServer::start() {
   listener_.open(tcp::endpoint(asio::ip::make_address(config_.listen.address), config_.listen.port));
-  use_engines(config_.engines);
+  update_engines(config_.engines);
   spawn(io_, listener_.run());
   spawn(io_, sweep_sessions());
   spawn(io_, watch_signals());
@@ -94,11 +94,12 @@
   const auto channel = channels_.find(action.channel);
   const auto session = sessions_.session_of(action.query);
   if (!session) return core::WriteResult::suppressed;
-  const std::string bytes = channel->protocol().encode_query(session->query(), action.priority, action.memory_mb);
+  const std::string bytes =
+      channel->protocol().encode_query(session->query(), action.priority, action.memory_mb);
   std::optional<core::WriteResult> result;
   while (!result) {
-    // The client may have closed since its session was last read, or while the process was stopped: a query
-    // nobody waits for is not started.
+    // The client may have closed since its socket was last read, or while the process was stopped. An
+    // abandoned query is not started.
     const ResumeCount facts_as_of = ResumeMonitor::count();
     if (!session->check_connected()) return core::WriteResult::suppressed;
     result = channel->send(bytes, facts_as_of);
@@ -108,7 +109,7 @@
 
 core::WriteResult PostgresServer::send(const core::SendProbe& action) {
   const auto channel = channels_.find(action.channel);
-  // A probe depends on no fact that a stop could make old.
+  // A probe depends on no state that a stop of the process could make outdated, so it is simply retried.
   const std::string bytes = channel->protocol().probe();
   std::optional<core::WriteResult> result;
   while (!result) result = channel->send(bytes, ResumeMonitor::count());
@@ -152,8 +153,8 @@
 }
 
 void PostgresServer::execute(const core::ShutdownComplete&) {
-  log_.info(observe::LogEvent::shutdown_complete, "nothing is held any more");
-  // The last answers are in the sockets' buffers; a client that does not read them is not waited for long.
+  log_.info(observe::LogEvent::shutdown_complete, "no queries remain");
+  // The last answers are in the sockets' buffers. Clients get a bounded time to read them.
   run_after(io_, last_answers_time, [this] { stop(); });
 }
 
@@ -170,8 +171,8 @@
 void PostgresServer::reject_connection(tcp::socket socket) {
   if (!closer_.can_reject()) return;  // the socket's destructor closes it
   auto error = state_ == State::shutting_down
-                   ? pg::error("57P01", "the workload manager is leaving", "repeat=harmless")
-                   : pg::error("53300", "too many sessions; wanted: at most " +
+                   ? pg::error("57P01", "the workload manager is shutting down", "repeat=harmless")
+                   : pg::error("53300", "too many sessions; the limit is " +
                                             std::to_string(config_.listen.max_sessions));
   error.severity = "FATAL";
   closer_.reject(StreamSocket(std::move(socket)), error);
@@ -201,7 +202,7 @@
 void PostgresServer::cancel_session(pg::CancelKey key) {
   const auto session = sessions_.find(key);
   if (!session) {
-    log_.info(observe::LogEvent::cancel_unmatched, "a cancel with a key of no session");
+    log_.info(observe::LogEvent::cancel_unmatched, "cancel request with an unknown key");
     return;
   }
   dispatch(core::ClientCancelled{session->id()});
@@ -223,7 +224,7 @@
 
 // ---- Engines ----
 
-void PostgresServer::use_engines(const std::vector<config::ListedEngine>& engines) {
+void PostgresServer::update_engines(const std::vector<config::ListedEngine>& engines) {
   core::EndpointsUpdated update;
   update.scope = EndpointUpdate::full;
   std::set<EngineId> listed;
@@ -236,7 +237,7 @@
                  {{Field::engine_name, engine.at.name},
                   {Field::address, engine.at.address},
                   {Field::reason, "not an IP address"}},
-                 "left out");
+                 "engine ignored");
       continue;
     }
     const EngineId id = engine.entry.engine;
@@ -246,7 +247,7 @@
   }
   engine_starts_.map(now(), update.engines);
   engine_starts_.first_list_ends();
-  // At another address runs another process: idle channels to the earlier one must not be used again.
+  // A new address means another process, so idle channels to the old one must not be reused.
   for (EngineEntry& entry : update.engines)
     if (moved.contains(entry.engine)) entry.started = now();
   dispatch(std::move(update));
@@ -255,7 +256,7 @@
 
 asio::awaitable<void> PostgresServer::watch_engine_list() {
   for (;;) {
-    if (const auto engines = engine_list_.read_if_changed()) use_engines(*engines);
+    if (const auto engines = engine_list_.read_if_changed()) update_engines(*engines);
     co_await pause_for(io_, config_.engines_poll);
     if (stopped_) co_return;
   }
@@ -266,7 +267,7 @@
 void PostgresServer::on_reload_fault(const std::string& fault) {
   if (!reload_retry_.is_retrying()) {
     log_.error(observe::LogEvent::config_reload, {{Field::reason, fault}},
-               "nothing is changed, it is read again for a while");
+               "the current settings stay in use; the reload is retried for a while");
   }
   reload_retry_.on_failure();
 }
@@ -278,27 +279,27 @@
     return;
   }
   reload_retry_.on_success();
-  const auto& fresh = std::get<config::ManagerConfig>(read);
-  if (const auto fixed = config::find_fixed_change(config_, fresh)) {
+  const auto& new_config = std::get<config::ManagerConfig>(read);
+  if (const auto fixed = config::find_fixed_change(config_, new_config)) {
     const std::string setting = fixed->text();
     log_.error(observe::LogEvent::config_reload,
                {{Field::setting, setting}, {Field::reason, "can't be changed while the manager runs"}},
-               "nothing is changed");
+               "the current settings stay in use");
     return;
   }
-  adopt_settings(fresh);
+  apply_settings(new_config);
   log_.info(observe::LogEvent::config_reload, {{Field::file, config_path_}},
-            "engines, rules and log level are as in this file");
+            "engines, rules and log level were reloaded");
 }
 
-void PostgresServer::adopt_settings(const config::ManagerConfig& fresh) {
-  core::Classifier classifier(fresh.classifier, fresh.core.module);
+void PostgresServer::apply_settings(const config::ManagerConfig& new_config) {
+  core::Classifier classifier(new_config.classifier, new_config.core.module);
   classifier_ = std::move(classifier);
-  config_.classifier = fresh.classifier;
-  config_.engines = fresh.engines;
-  config_.log.level = fresh.log.level;
-  log_.set_level(fresh.log.level);
-  if (config_.engines_file.empty()) use_engines(config_.engines);
+  config_.classifier = new_config.classifier;
+  config_.engines = new_config.engines;
+  config_.log.level = new_config.log.level;
+  log_.set_level(new_config.log.level);
+  if (config_.engines_file.empty()) update_engines(config_.engines);
 }
 
 asio::awaitable<void> PostgresServer::watch_signals() {
@@ -306,7 +307,7 @@
   while (!stopped_) {
     co_await pause_for(io_, signal_period);
     const auto signals = PendingSignals::consume();
-    // A second Ctrl-C stops at once; a second SIGTERM changes nothing.
+    // A second Ctrl-C stops the process immediately; a second SIGTERM has no effect.
     if (state_ == State::shutting_down && signals.interrupts > std::max(interrupts, 1U)) {
       stop();
       co_return;
@@ -321,10 +322,10 @@
   if (state_ == State::shutting_down) return;
   state_ = State::shutting_down;
   listener_.close_when_drained();
-  log_.info(observe::LogEvent::shutdown_started, "answering what is held");
+  log_.info(observe::LogEvent::shutdown_started, "answering the remaining queries");
   for (const auto& session : sessions_.all()) session->begin_shutdown();
   dispatch(core::BeginShutdown{config_.shutdown_grace_period});
-  // Attempts that an engine neither ends nor cancels are not waited for beyond this.
+  // Bounds the wait for attempts that an engine neither completes nor cancels.
   run_after(io_, config_.shutdown_grace_period + config_.core.cancel_grace + shutdown_margin,
             [this] { stop(); });
 }
--- a/src/service/postgres_server.hpp
+++ b/src/service/postgres_server.hpp
@@ -1,6 +1,6 @@
-/// The workload manager as a PostgreSQL server: one thread, one loop. It owns the sockets and the clock,
-/// dispatches what happens to the core as events, and executes the actions that the core decides on. Nothing
-/// here decides what becomes of a query.
+/// The workload manager as a PostgreSQL server with a single-threaded event loop. It owns the sockets and the
+/// clock, dispatches events to the core and executes the core's actions. All decisions about queries are made
+/// in the core.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -23,8 +23,8 @@
 
 namespace paddlestand::service {
 
-/// Accepts clients' connections, holds their sessions and the channels to engines, and follows the engine
-/// list, reloads and signals. All of it runs on the loop's thread.
+/// Accepts clients' connections, owns their sessions and the channels to engines, and handles changes of the
+/// engine list, reloads and signals. Everything runs on the event loop's thread.
 class PostgresServer : public DispatcherHost {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -36,47 +36,49 @@
   PostgresServer(const PostgresServer&) = delete;
   PostgresServer& operator=(const PostgresServer&) = delete;
 
-  /// Listens, and begins to serve. Throws boost::system::system_error where the address can't be bound, and
-  /// may be called again then.
+  /// Listens and starts to serve. Throws boost::system::system_error if the address can't be bound, after
+  /// which it may be called again.
   void start();
-  /// The port that it listens on, once started.
+  /// The listening port, once started.
   [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
   [[nodiscard]] bool knows_engine(EngineId engine) const { return channels_.has_endpoint(engine); }
-  /// The number of engines whose address is kept.
+  /// The number of engines with a known address.
   [[nodiscard]] std::size_t known_engines() const { return channels_.endpoint_count(); }
 
-  /// Reads the settings again and adopts those that may change while it runs; a fault changes nothing.
+  /// Reads the settings file again and applies the settings that may change at run time. An invalid file
+  /// changes nothing.
   void reload();
-  /// Begins a graceful shutdown: accepts no more clients, answers the queries in flight, then stops the loop.
+  /// Begins a graceful shutdown: accepts no more clients, answers the queries in flight, then stops the event
+  /// loop.
   void begin_shutdown();
-  /// Closes every session, once the loop has ended.
+  /// Closes every session. To be called after the event loop has ended.
   void close_connections();
 
   // ---- For sessions and channels ----
 
-  /// Dispatches the end of an answer, with what the engine reported for the session that gets it.
+  /// Dispatches the end of an answer, with the engine's report for the session that receives it.
   void dispatch_answer_end(const core::AnswerEnd& event, const pg::BackendAnswerEnd& end);
-  /// Classifies a session's request and dispatches it; a request with faulty tags is rejected at once.
+  /// Classifies a session's request and dispatches it. A request with invalid tags is rejected immediately.
   void submit_request(const std::shared_ptr<ClientSession>& session, pg::FrontendRequest request);
-  /// Cancels the query of the session that was given this key, if there is one.
+  /// Cancels the query of the session with this cancel key, if there is one.
   void cancel_session(pg::CancelKey key);
   void on_session_closed(core::SessionId id) { sessions_.remove(id); }
-  /// Closes a client's connection once the client can have read what was written last.
+  /// Closes a client's connection after giving the client time to read the last output.
   void close_gracefully(StreamSocket socket) { closer_.close(std::move(socket)); }
 
   [[nodiscard]] const config::ManagerConfig& config() const { return config_; }
   [[nodiscard]] const pg::FrontendSettings& frontend_settings() const { return frontend_settings_; }
   [[nodiscard]] std::shared_ptr<const pg::Users> users() const { return users_; }
-  /// What a connection to an engine logs in with, its SCRAM nonce fresh.
+  /// The login of a new connection to an engine, with a new SCRAM nonce.
   [[nodiscard]] pg::EngineLogin engine_login() const;
   /// A random nonce for one SCRAM exchange, in printable characters.
   [[nodiscard]] static std::string make_nonce();
 
  private:
-  /// `DispatcherHost::stopped_` is the state after these.
+  /// After these states the host is stopped (`DispatcherHost::stopped_`).
   enum class State : std::uint8_t { serving, shutting_down };
 
-  // The dispatcher's.
+  // Implementation of core::HostInterface.
   void on_event(const core::CoreEvent& event) override { answer_ends_.begin_event(event); }
   core::WriteResult send(const core::SendQuery& action) override;
   core::WriteResult send(const core::SendProbe& action) override;
@@ -98,8 +100,8 @@
   boost::asio::awaitable<void> watch_engine_list();
   boost::asio::awaitable<void> watch_signals();
   void on_reload_fault(const std::string& fault);
-  void adopt_settings(const config::ManagerConfig& fresh);
-  void use_engines(const std::vector<config::ListedEngine>& engines);
+  void apply_settings(const config::ManagerConfig& new_config);
+  void update_engines(const std::vector<config::ListedEngine>& engines);
 
   config::ManagerConfig config_;
   std::string config_path_;
--- a/src/service/reload_retry.hpp
+++ b/src/service/reload_retry.hpp
@@ -1,5 +1,5 @@
-/// Retries of a reload whose file could not be read: it may be half written, or the disk may fail for a
-/// moment.
+/// Retries a reload whose file could not be read, because it may be partially written or the error may be
+/// transient.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,24 +11,24 @@
 
 namespace paddlestand::service {
 
-/// Counts the failed reloads in a row and schedules the next attempt; at most one is scheduled. Belongs to
-/// one host, on its loop's thread; an attempt that is scheduled at its end is not made.
+/// Counts consecutive failed reloads and schedules the next attempt; at most one is scheduled at a time.
+/// Belongs to one host and is used only on its event loop's thread. Destruction cancels a scheduled attempt.
 class ReloadRetry {
  public:
   struct Limits {
     Duration pause{};  ///< between a failure and the next attempt
-    int max_attempts = 0;  ///< retries in a row before it gives up until the next reload that is asked for
+    int max_attempts = 0;  ///< consecutive retries before it gives up until the next requested reload
   };
 
-  /// `attempt` makes a reload, which calls on_failure() or on_success(). It must check whether the host has
-  /// stopped.
+  /// `attempt` performs a reload, which calls on_failure() or on_success(). It must check whether the host
+  /// has stopped.
   ReloadRetry(boost::asio::io_context& io, Limits limits, std::function<void()> attempt)
       : timer_(io), limits_(limits), attempt_(std::move(attempt)) {}
 
-  /// Whether a failed reload is being retried: its fault has been logged already.
+  /// Whether a failed reload is being retried, in which case its error was logged already.
   [[nodiscard]] bool is_retrying() const { return failures_ > 0; }
 
-  /// Schedules the next attempt in place of one that is scheduled, unless too many have failed in a row.
+  /// Schedules the next attempt, replacing one already scheduled, unless too many have failed in a row.
   void on_failure() {
     ++failures_;
     if (failures_ > limits_.max_attempts) {
@@ -41,7 +41,7 @@
     });
   }
 
-  /// Ends a series of failures: an attempt that is scheduled is not made.
+  /// Ends a series of failures and cancels a scheduled attempt.
   void on_success() { end_series(); }
 
  private:
@@ -53,7 +53,7 @@
   boost::asio::steady_timer timer_;
   Limits limits_;
   std::function<void()> attempt_;
-  int failures_ = 0;  // in a row
+  int failures_ = 0;  // consecutive failed reloads
 };
 
 }  // namespace paddlestand::service
--- a/src/service/resume_monitor.hpp
+++ b/src/service/resume_monitor.hpp
@@ -1,17 +1,18 @@
-/// Detects that the process was stopped (SIGSTOP and its like) and resumed, so that nothing is sent or ended
-/// that was decided on facts from before the stop: a deadline, a client that was there, an engine that was
-/// ready, a connection without input.
+/// Detects that the process was stopped (SIGSTOP and similar signals) and resumed, so that it does not send
+/// data or shut down a connection based on state from before the stop: a deadline, a connected client, a
+/// ready engine, a connection without pending input.
 ///
-/// A stop can come between a look at the facts and the system call that acts on them, whatever the order of
-/// the two. But a process that is resumed runs its handler of SIGCONT before any other of its instructions.
-/// The handler counts, and disarms the guarded call that may be about to begin:
-///   - of a send it empties the message, whose size the kernel reads from memory only once the call has
-///   begun;
-///   - of a shutdown it puts another file in the place of the socket's descriptor, which the kernel looks up
-///     only once the call has begun. The socket is put back after the call.
-/// So a guarded call takes effect only where no stop lies between the look and the kernel's part of it.
+/// A stop can occur between reading the state and the system call that depends on it, however closely they
+/// follow each other. But a resumed process runs its SIGCONT handler before any other instruction. The
+/// handler increments a count and disarms a guarded call that may be about to start:
+///   - For a send it empties the message, whose size the kernel reads from memory only after the call has
+///     started.
+///   - For a shutdown it replaces the file behind the socket's descriptor, which the kernel looks up only
+///     after the call has started. The socket is restored after the call.
+/// A guarded call therefore takes effect only if the process was not stopped between reading the state and
+/// the kernel's part of the call.
 ///
-/// A process that is not stopped but gets no processor is not resumed by a signal: that is not detected here.
+/// A process that is not stopped but not scheduled for a while gets no SIGCONT: that is not detected here.
 #pragma once
 
 #include <cstdint>
@@ -21,25 +22,25 @@
 
 namespace paddlestand::service {
 
-/// How often the process has been resumed since its start.
+/// The number of times that the process has been resumed since its start.
 using ResumeCount = std::uint32_t;
 
 class ResumeMonitor {
  public:
-  /// Installs the handler of SIGCONT. Only the thread that sends may have the signal unblocked: run by
-  /// another thread, the handler would not hold up this one.
+  /// Installs the SIGCONT handler. The signal must be unblocked only in the sending thread: a handler that
+  /// ran in another thread would not run before this thread continues.
   static void install();
-  /// To be read before the facts are looked up that a message depends on.
+  /// To be read before the state that a message depends on.
   [[nodiscard]] static ResumeCount count();
 };
 
-/// As send(), but sends nothing where the process was resumed since `facts_as_of`: IoStatus::outdated. For
-/// one thread of the process.
+/// Like send(), but sends nothing and returns IoStatus::outdated if the process was resumed since
+/// `facts_as_of`. May be used by one thread of the process.
 IoResult send_unless_resumed(int socket, std::string_view bytes, ResumeCount facts_as_of);
 
 enum class GuardedShutdown : std::uint8_t {
   done,
-  outdated,  ///< nothing was done: the process was resumed since the facts were looked up
+  outdated,  ///< nothing was done, because the process was resumed since `facts_as_of`
   broken  ///< the connection is broken
 };
 
--- a/src/service/session_registry.cpp
+++ b/src/service/session_registry.cpp
@@ -9,7 +9,7 @@
 namespace paddlestand::service {
 namespace {
 
-constexpr std::uint64_t process_mask = 0x7fffffff;  // the part of a session's number that its key shows
+constexpr std::uint64_t process_mask = 0x7fffffff;  // the bits of a session's id that its cancel key contains
 
 std::uint32_t random_secret() {
   std::uint32_t secret = 0;
@@ -34,7 +34,7 @@
 }
 
 std::shared_ptr<ClientSession> SessionRegistry::find(pg::CancelKey key) const {
-  // A key shows the low bits of the number: the session is among the first, or among the latest of them.
+  // A key contains only the low bits of the id. The high bits may be zero or those of the latest id.
   for (const std::uint64_t high_bits : {std::uint64_t{0}, last_session_ & ~process_mask}) {
     auto session = find(high_bits | key.process);
     if (session && session->key() == key) return session;
--- a/src/service/session_registry.hpp
+++ b/src/service/session_registry.hpp
@@ -1,4 +1,4 @@
-/// The clients' sessions of a PostgreSQL host, and the queries that each waits for.
+/// The clients' sessions of a PostgreSQL host and their queries in progress.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,26 +14,26 @@
 class ClientSession;
 class PostgresServer;
 
-/// Owns the open sessions, numbers them and their queries, and finds them by number or by cancel key. Used on
-/// the loop's thread.
+/// Owns the open sessions, assigns ids to them and their queries, and finds them by id or by cancel key. Used
+/// only on the event loop's thread.
 class SessionRegistry {
  public:
-  /// Makes a session with the next number and a random cancel secret. The caller starts it.
+  /// Creates a session with the next id and a random cancel secret. The caller starts it.
   std::shared_ptr<ClientSession> create(PostgresServer& server, boost::asio::ip::tcp::socket socket);
   void remove(core::SessionId id) { sessions_.erase(id); }
 
-  /// Null where the session is closed.
+  /// Returns null if the session is closed.
   [[nodiscard]] std::shared_ptr<ClientSession> find(core::SessionId id) const;
-  /// The session that was given this key (BackendKeyData); null where there is none.
+  /// The session whose BackendKeyData contains this key; null if there is none.
   [[nodiscard]] std::shared_ptr<ClientSession> find(pg::CancelKey key) const;
-  /// All open sessions: what is done with each may close it.
+  /// A copy of the list of open sessions, so that callers may close sessions while they iterate.
   [[nodiscard]] std::vector<std::shared_ptr<ClientSession>> all() const;
   [[nodiscard]] std::size_t size() const { return sessions_.size(); }
 
-  /// Numbers a query of a session.
+  /// Assigns an id to a session's query.
   core::QueryId add_query(core::SessionId session);
   void remove_query(core::QueryId query) { queries_.erase(query); }
-  /// The session of a query that has no final answer yet; null where it is closed.
+  /// The session of a query that has no final answer yet; null if the session is closed.
   [[nodiscard]] std::shared_ptr<ClientSession> session_of(core::QueryId query) const;
 
  private:
--- a/src/service/side_connections.cpp
+++ b/src/service/side_connections.cpp
@@ -22,7 +22,7 @@
 
 constexpr auto side_connection_timeout = std::chrono::seconds(1);
 constexpr std::size_t read_buffer_bytes = 4096;
-constexpr std::uint8_t update_priority = 3;  // of the update's own statement
+constexpr std::uint8_t update_priority = 3;  // of the statement that performs the update
 
 asio::awaitable<void> run_with_timeout(asio::io_context& io, asio::awaitable<void> exchange) {
   error_code ignored;
@@ -42,7 +42,8 @@
   co_await socket.async_read_some(asio::buffer(unused), asio::redirect_error(asio::use_awaitable, error));
 }
 
-/// What the engine's events ask for next: true while the exchange goes on, its bytes appended to `out`.
+/// Handles the engine's events and appends the bytes to send next to `out`. Returns whether the exchange
+/// continues.
 bool continue_update(const std::vector<pg::BackendEvent>& events, EngineChannel& channel,
                      pg::BackendConnection& connection, const std::string& statement, std::string& out) {
   for (const pg::BackendEvent& event : events) {
--- a/src/service/side_connections.hpp
+++ b/src/service/side_connections.hpp
@@ -1,6 +1,6 @@
-/// Short connections to an engine beside its channels: cancel requests, which PostgreSQL's protocol wants on
-/// a connection of their own (chapter 55.2.8), and updates of the resources granted to a running query, which
-/// can't be sent on the channel that the query occupies. Each ends after a second, whatever the engine does.
+/// Short-lived connections to an engine besides its channels: cancel requests, which PostgreSQL's protocol
+/// requires on a separate connection (chapter 55.2.8), and updates of the resources granted to a running
+/// query, which can't be sent on the channel that the query occupies. Each is closed after at most a second.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,15 +16,15 @@
 
 class EngineChannel;
 
-/// Sends a CancelRequest for the backend of `key`, and waits for the engine to close.
+/// Sends a CancelRequest for the backend of `key`, and waits for the engine to close the connection.
 boost::asio::awaitable<void> send_cancel_request(boost::asio::io_context& io,
                                                  boost::asio::ip::tcp::endpoint engine, pg::CancelKey key);
 
-/// The statement that gives the backend `process` the priority and the memory of `grant`.
+/// The statement that sets the priority and the memory of the backend `process` to those of `grant`.
 std::string resource_grant_statement(std::uint32_t process, const core::UpdateResourceGrant& grant);
 
-/// Logs in at the engine of `channel` and runs `statement`. The channel is notified once the engine has
-/// answered it; an update that fails is never reported, so that the channel isn't used for another query.
+/// Logs in at the engine of `channel` and runs `statement`. The channel is notified when the engine has
+/// answered it. A failed update is never reported, so that the channel is not reused for another query.
 boost::asio::awaitable<void> update_resource_grant(boost::asio::io_context& io,
                                                    std::shared_ptr<EngineChannel> channel,
                                                    pg::EngineLogin login, std::string statement);
--- a/src/service/signals.cpp
+++ b/src/service/signals.cpp
@@ -11,7 +11,7 @@
 std::atomic<std::uint32_t> terminations{0};
 std::atomic<std::uint32_t> interrupts{0};
 std::atomic<std::uint32_t> reloads{0};
-static_assert(std::atomic<std::uint32_t>::is_always_lock_free, "a signal handler may use nothing else");
+static_assert(std::atomic<std::uint32_t>::is_always_lock_free, "signal handlers require lock-free atomics");
 
 void on_signal(int signal) {
   if (signal == SIGHUP) {
--- a/src/service/signals.hpp
+++ b/src/service/signals.hpp
@@ -1,6 +1,6 @@
-/// SIGTERM, SIGINT and SIGHUP, recorded until the loop polls them. The handler makes no call that could fail
-/// and needs no descriptor: a signal is never lost, however often and however early it arrives. SIGCONT is
-/// resume_monitor.hpp's.
+/// Records SIGTERM, SIGINT and SIGHUP until the event loop polls them. The handler makes no call that can
+/// fail and needs no descriptor, so no signal is lost, however many arrive and however early. SIGCONT is
+/// handled in resume_monitor.hpp.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,17 @@
 
 class PendingSignals {
  public:
-  /// Installs the process's handlers, also that of SIGCONT. SIGPIPE is ignored: a log that nobody reads must
-  /// not end the process.
+  /// Installs the signal handlers of the process, including that of SIGCONT. Ignores SIGPIPE, so that a
+  /// closed pipe behind the log does not terminate the process.
   static void install();
 
   struct Received {
     bool terminate = false;  ///< SIGTERM or SIGINT
-    std::uint32_t interrupts = 0;  ///< SIGINT, since the start: a second Ctrl-C asks to stop at once
+    std::uint32_t interrupts =
+        0;  ///< number of SIGINTs since the start: a second Ctrl-C requests an immediate stop
     bool reload = false;  ///< SIGHUP
   };
-  /// The signals since the last call. For one host in a process.
+  /// Returns the signals received since the last call. Only one host per process may call it.
   static Received consume();
 };
 
--- a/src/service/socket_calls.cpp
+++ b/src/service/socket_calls.cpp
@@ -22,10 +22,10 @@
 
 namespace {
 
-constexpr int max_repeats = 64;  // of one call in a row; then other work of the loop has its turn
+constexpr int max_repeats = 64;  // of one call in a row, so that other work of the event loop can run
 constexpr auto linger_time = 1s;
 constexpr Duration max_connect_backoff = 40ms;
-constexpr Duration connect_margin = 20ms;  // before the limit: no attempt begins that late
+constexpr Duration connect_margin = 20ms;  // no attempt starts within this time before the limit
 constexpr int max_option_attempts = 8;
 constexpr Duration linger_poll_period = 20ms;
 constexpr std::size_t max_lingering_bytes = std::size_t{256} * 1024;
@@ -43,7 +43,8 @@
   return IoStatus::ended;
 }
 
-/// Repeats the call as long as its error asks for that. `call` returns what the system call returns.
+/// Repeats the call while its error has the verdict retry_now, up to max_repeats times. `call` returns the
+/// system call's return value.
 template <typename Call>
 IoResult repeat(SystemCall kind, Call call) {
   IoResult result;
@@ -172,8 +173,8 @@
 }
 
 asio::io_context& StreamSocket::io() {
-  // The executor's context is the io_context that the socket was made with.
-  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-static-cast-downcast): it has no virtual function to check by
+  // The executor's context is the io_context that the socket was created with.
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-static-cast-downcast): the class is not polymorphic
   return static_cast<asio::io_context&>(socket_.get_executor().context());
 }
 
@@ -193,7 +194,7 @@
   return is_open() ? service::unsent_bytes(socket_.native_handle()) : 0;
 }
 
-bool StreamSocket::surely_empty() {
+bool StreamSocket::is_receive_buffer_empty() {
   char next{};
   return is_open() && peek({&next, 1}).status == IoStatus::would_block;
 }
@@ -210,7 +211,7 @@
   if (last != IoStatus::retry_later) {
     co_await socket_.async_wait(readiness, asio::redirect_error(asio::use_awaitable, error));
   }
-  // That a wait fails says nothing of the connection: the next call finds out.
+  // A failed wait says nothing about the state of the connection: the next call detects that.
   const bool closed = error == asio::error::operation_aborted || !socket_.is_open();
   if (last == IoStatus::retry_later || (error && !closed)) { co_await pause_for(io(), shortage_pause); }
 }
--- a/src/service/socket_calls.hpp
+++ b/src/service/socket_calls.hpp
@@ -1,6 +1,6 @@
-/// Non-blocking system calls on connected sockets and listeners. core::verdict_of alone decides what an error
-/// means: interrupted calls are repeated here, other failures are returned as what the caller can do about
-/// them.
+/// Non-blocking system calls on connected sockets and listeners. core::verdict_of classifies all errors:
+/// interrupted calls are repeated here, other failures are returned as a status that tells the caller how to
+/// proceed.
 #pragma once
 
 #include <sys/socket.h>
@@ -18,13 +18,13 @@
 
 namespace paddlestand::service {
 
-/// What the caller can do after a call.
+/// The result of a call, and how the caller should proceed.
 enum class IoStatus : std::uint8_t {
   progress,  ///< `bytes` were transferred
-  would_block,  ///< nothing now: wait until the socket is ready
-  retry_later,  ///< nothing now, and waiting for readiness would not help: wait for a moment
-  end_of_input,  ///< receive: the peer shut its side down
-  outdated,  ///< nothing was sent: the process was resumed since the bytes were made (resume_monitor.hpp)
+  would_block,  ///< nothing was transferred: wait until the socket is ready
+  retry_later,  ///< nothing was transferred, and waiting for readiness would not help: retry later
+  end_of_input,  ///< receive: the peer shut down its sending side
+  outdated,  ///< nothing was sent, because the process was stopped and resumed (resume_monitor.hpp)
   ended  ///< the connection is broken; `error` says how
 };
 
@@ -37,27 +37,28 @@
   boost::system::error_code error;
 };
 
-/// Reads the bytes that have arrived, as far as they fit.
+/// Reads received bytes, up to the size of `into`.
 IoResult receive(int socket, std::span<char> into);
-/// As receive(), but the bytes stay in the socket's buffer.
+/// Like receive(), but the bytes stay in the socket's buffer.
 IoResult peek(int socket, std::span<char> into);
-/// Writes what fits into the socket's buffer.
+/// Writes as many bytes as fit into the socket's buffer.
 IoResult send(int socket, std::string_view bytes);
-/// As send(), for a message that is described in memory.
+/// Like send(), for a message header.
 IoResult send_message(int socket, const msghdr& message);
 /// Shuts down the sending side; the peer may still write. Returns the errno of a failure, or zero.
 int shut_down_sending(int socket);
-/// Whether this result of shut_down_sending() says that the connection is broken.
+/// Whether this result of shut_down_sending() means that the connection is broken.
 bool is_broken_by_shutdown(int error_number);
-/// The bytes written that have not left this machine, since the peer does not read; zero where the system
-/// can't tell.
+/// The number of written bytes that have not been sent to the peer, because it does not read; zero if the
+/// system can't tell.
 std::size_t unsent_bytes(int socket);
-/// Sets TCP_NODELAY: small writes are sent at once. Retried a few times; a failure costs only latency.
+/// Sets TCP_NODELAY, so that small writes are sent immediately. Retried a few times; a failure costs only
+/// latency.
 void set_no_delay(int socket);
 
 /// The outcome of an accept().
 struct Accepted {
-  int socket = -1;  ///< non-blocking, closed on exec; the caller's
+  int socket = -1;  ///< non-blocking and close-on-exec; owned by the caller
   IoStatus status{};
   boost::system::error_code error;
 };
@@ -66,12 +67,12 @@
 
 /// Why a connection could not be made.
 struct ConnectFailure {
-  core::CallVerdict verdict{};  ///< retry_now, retry_later: a transient fault here; refused: by the peer
+  core::CallVerdict verdict{};  ///< retry_now, retry_later: a transient local error; refused: by the peer
   boost::system::error_code error;
 };
 
-/// A connected TCP socket whose system calls may fail for a moment. Not thread-safe; the coroutines that wait
-/// on it must keep it alive.
+/// A TCP socket whose system calls may fail transiently. Not thread-safe. Coroutines that wait on it must
+/// keep it alive.
 class StreamSocket {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -79,29 +80,29 @@
   explicit StreamSocket(boost::asio::io_context& io) : socket_(io) {}
   explicit StreamSocket(tcp::socket socket);
 
-  /// Makes one attempt to connect. On a failure the socket is closed, and may be connected again.
+  /// Makes one attempt to connect. A failure closes the socket, which may then be connected again.
   boost::asio::awaitable<std::optional<ConnectFailure>> connect(tcp::endpoint to);
 
   IoResult receive(std::span<char> into);
   IoResult peek(std::span<char> into);
   IoResult send(std::string_view bytes);
-  /// Sends nothing where the process was resumed since `facts_as_of` (resume_monitor.hpp).
+  /// Sends nothing if the process was resumed since `facts_as_of` (resume_monitor.hpp).
   IoResult send_unless_resumed(std::string_view bytes, std::uint32_t facts_as_of);
-  /// False where the connection is broken.
+  /// Returns false if the connection is broken.
   bool shut_down_sending();
-  /// Does nothing where the process was resumed since `facts_as_of` (resume_monitor.hpp).
+  /// Does nothing if the process was resumed since `facts_as_of` (resume_monitor.hpp).
   GuardedShutdown shut_down_unless_resumed(std::uint32_t facts_as_of);
   void close();
-  /// Resets the connection: bytes that the peer has not read are dropped.
+  /// Resets the connection: bytes that the peer has not read are discarded.
   void reset();
   [[nodiscard]] std::size_t unsent_bytes();
   [[nodiscard]] bool is_open() const { return socket_.is_open(); }
   [[nodiscard]] boost::asio::io_context& io();
-  /// Whether certainly no bytes wait to be read: false where the check itself fails.
-  [[nodiscard]] bool surely_empty();
+  /// Whether no received bytes are pending. Returns false if the check itself fails.
+  [[nodiscard]] bool is_receive_buffer_empty();
 
-  /// Waits until another receive() or send() may succeed, after one with this status. Returns soon after a
-  /// close.
+  /// Waits until the next receive() or send() may succeed, given the status of the last one. Returns soon
+  /// after the socket is closed.
   boost::asio::awaitable<void> wait_to_receive(IoStatus last);
   boost::asio::awaitable<void> wait_to_send(IoStatus last);
 
@@ -111,23 +112,22 @@
   tcp::socket socket_;
 };
 
-/// Connects, and retries after a transient fault of this machine until shortly before `limit`, a time of the
-/// steady clock at which the core blames the peer. `given_up` ends it early: the socket is closed then, and
-/// the failure returned means nothing. `on_failure` is called after each failed attempt, with whether another
-/// follows.
+/// Connects, and retries after transient local errors until shortly before `limit`, the time on the steady
+/// clock at which the core attributes the failure to the peer. When `given_up` returns true the socket is
+/// closed, and the returned failure is meaningless. `on_failure` is called after each failed attempt;
+/// `again`: another attempt follows.
 boost::asio::awaitable<std::optional<ConnectFailure>> connect_before(
     StreamSocket& socket, boost::asio::ip::tcp::endpoint to, TimePoint limit, std::function<bool()> given_up,
     std::function<void(const ConnectFailure&, bool again)> on_failure);
 
-/// Waits for `time`; an error of the timer shortens it.
+/// Waits for `time`, or less if the timer fails.
 boost::asio::awaitable<void> pause_for(boost::asio::io_context& io, Duration time);
 
-/// The pause before a call is repeated that failed for want of memory, buffers or descriptors.
+/// The pause before repeating a call that failed because of a shortage of memory, buffers or descriptors.
 inline constexpr Duration shortage_pause = std::chrono::milliseconds(5);
 
-/// Shuts down the sending side and discards input until the peer closes its own, for a bounded time and a
-/// bounded number of bytes: a close over unread bytes would reset the connection and drop what was written
-/// last.
+/// Shuts down the sending side and discards input until the peer closes its side, for a bounded time and
+/// number of bytes. Closing with unread input would reset the connection and discard the last output.
 boost::asio::awaitable<void> linger_and_close(StreamSocket socket);
 
 }  // namespace paddlestand::service
--- a/src/service/spawn.hpp
+++ b/src/service/spawn.hpp
@@ -1,5 +1,5 @@
-/// Detached coroutines. An exception out of one ends the loop's run() and is rethrown from it: a manager that
-/// has lost track of its own state can't keep its invariants.
+/// Starts detached coroutines. An exception that leaves one is rethrown from the loop's run(), because a
+/// manager in an unknown state can't guarantee its invariants.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,7 +14,7 @@
   if (error) std::rethrow_exception(error);
 };
 
-/// Runs `coroutine` on the loop; what it refers to must live until it has ended.
+/// Runs `coroutine` on the loop. Everything that it refers to must live until it has ended.
 inline void spawn(boost::asio::io_context& io, boost::asio::awaitable<void> coroutine) {
   boost::asio::co_spawn(io, std::move(coroutine), rethrow);
 }
--- a/src/service/users.cpp
+++ b/src/service/users.cpp
@@ -21,13 +21,13 @@
   return bytes;
 }
 
-/// Adds the user of one line; what is wrong with it, if anything.
+/// Adds the user of one line. Returns an error message if the line is invalid.
 std::optional<std::string> add_user(std::string_view line, pg::Users& users) {
   const auto blank = line.find(' ');
   const auto verifier = blank == line.npos ? std::nullopt : pg::Verifier::parse(line.substr(blank + 1));
-  if (!verifier) return "wanted: name, blank, SCRAM-SHA-256$rounds:salt$stored:server";
+  if (!verifier) return "expected a name, a space and SCRAM-SHA-256$rounds:salt$stored:server";
   const std::string name(line.substr(0, blank));
-  if (!users.verifiers.emplace(name, *verifier).second) return "user '" + name + "' comes twice";
+  if (!users.verifiers.emplace(name, *verifier).second) return "duplicate user '" + name + "'";
   return std::nullopt;
 }
 
@@ -55,7 +55,7 @@
       return CredentialsError{listen.users_file, number, std::move(*problem)};
   }
   if (users.verifiers.empty())
-    return CredentialsError{listen.users_file, 0, "names no user; nobody could log in"};
+    return CredentialsError{listen.users_file, 0, "contains no users, so nobody could log in"};
   return users;
 }
 
@@ -66,7 +66,7 @@
   if (std::holds_alternative<config::FileError>(text)) return CredentialsError{path, 0, "can't be read"};
   std::istringstream lines(std::get<std::string>(text));
   if (!std::getline(lines, password) || password.empty())
-    return CredentialsError{path, 0, "wanted: a password as its first line"};
+    return CredentialsError{path, 0, "expected a password in the first line"};
   return password;
 }
 
--- a/src/service/users.hpp
+++ b/src/service/users.hpp
@@ -1,4 +1,4 @@
-/// Files with secrets: the users that may log in, and the password that engines want.
+/// Reads files with secrets: the users that may log in, and the password for engines.
 #pragma once
 
 #include <string>
@@ -9,21 +9,21 @@
 
 namespace paddlestand::service {
 
-/// Why a file of users or of a password can't be used.
+/// Why a file of users or a password file can't be used.
 struct CredentialsError {
   std::string file;
-  int line = 0;  ///< 1 for the first; 0 where it is about the file as such
+  int line = 0;  ///< counted from 1; 0 if the error concerns the whole file
   std::string problem;
 
-  /// As file:line: problem, for standard error.
+  /// Formatted as "file:line: problem", for standard error.
   [[nodiscard]] std::string text() const;
 };
 
-/// Reads the users that may log in. One a line: name, blank, SCRAM-SHA-256 verifier; # begins a comment.
-/// Without SCRAM no file is read, and whoever connects is trusted.
+/// Reads the users that may log in. Each line holds a name, a space and a SCRAM-SHA-256 verifier; # begins a
+/// comment. Without SCRAM no file is read, and every client is trusted.
 std::variant<pg::Users, CredentialsError> read_users(const config::ListenConfig& listen);
 
-/// Reads a password, the first line of the file; an empty one where no file is named.
+/// Reads a password from the first line of a file. Returns an empty one if `path` is empty.
 std::variant<std::string, CredentialsError> read_password(const std::string& path);
 
 }  // namespace paddlestand::service
