--- a/src/service/side_connections.cpp
+++ b/src/service/side_connections.cpp
@@ -22,7 +22,7 @@
 
 constexpr auto side_connection_timeout = std::chrono::seconds(1);
 constexpr std::size_t read_buffer_bytes = 4096;
-constexpr std::uint8_t update_priority = 3;  // of the update's own statement
+constexpr std::uint8_t update_priority = 3;  // of the statement that performs the update
 
 asio::awaitable<void> run_with_timeout(asio::io_context& io, asio::awaitable<void> exchange) {
   error_code ignored;
@@ -36,13 +36,14 @@
   co_await socket.async_connect(engine, asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return;
   std::string bytes;
-  pg::put_cancel(bytes, key);
+  pg::put_cancel_request(bytes, key);
   co_await asio::async_write(socket, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
   std::array<char, 16> unused{};
   co_await socket.async_read_some(asio::buffer(unused), asio::redirect_error(asio::use_awaitable, error));
 }
 
-/// What the engine's events ask for next: true while the exchange goes on, its bytes appended to `out`.
+/// Handles the engine's events and appends the bytes to send next to `out`. Returns whether the exchange
+/// continues.
 bool continue_update(const std::vector<pg::BackendEvent>& events, EngineChannel& channel,
                      pg::BackendConnection& connection, const std::string& statement, std::string& out) {
   for (const pg::BackendEvent& event : events) {
@@ -50,7 +51,7 @@
     if (!std::holds_alternative<pg::BackendReady>(event)) return false;
     pg::EngineQuery query;
     pg::put_query(query.bytes, statement);
-    out += connection.flight(query, update_priority, 0);
+    out += connection.encode_query(query, update_priority, 0);
   }
   return true;
 }
