--- a/apps/explore.cpp
+++ b/apps/explore.cpp
@@ -1,4 +1,4 @@
-/// `paddlestand explore`: searches the core that ships for a history that violates an invariant.
+/// `paddlestand explore`: searches the production core for a history that violates an invariant.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iomanip>
@@ -21,7 +21,7 @@
 
 using namespace explorer;
 
-/// What the searched parts of a scope add up to.
+/// Totals over the searched parts of a scope.
 struct ScopeTotals {
   bool has_searched = false;
   bool is_exhausted = true;
@@ -29,7 +29,7 @@
   std::size_t transitions = 0;
   CoverageCounts coverage{};
 
-  void add(const Report& report) {
+  void add(const SearchReport& report) {
     has_searched = true;
     is_exhausted = is_exhausted && report.is_exhausted;
     states += report.states;
@@ -39,23 +39,22 @@
 };
 
 int run_search(const ExploreOptions& options) {
-  const auto size = size_of(options.scope);
-  if (!size) return report_bad_input("--scope " + options.scope + ": wanted: tiny, small, medium or large");
+  const auto size = parse_size(options.scope);
+  if (!size) return report_bad_input("--scope " + options.scope + ": expected tiny, small, medium or large");
   ScopeTotals totals;
   for (const Scope& scope : scopes_of(*size)) {
     if (!options.only.empty() && scope.name != options.only) continue;
-    const Report report = search(scope, limits_of(options), print_progress);
+    const SearchReport report = search(scope, limits_of(options), print_progress);
     print_report(scope.name, report);
-    if (report.found) return report_violation(options, scope.name, *report.found);
+    if (report.counterexample) return report_violation(options, scope.name, *report.counterexample);
     totals.add(report);
   }
   if (!totals.has_searched)
-    return report_bad_input("--only " + options.only + ": wanted: the name of a part of this scope");
+    return report_bad_input("--only " + options.only + ": expected the name of a part of this scope");
   if (options.coverage) print_coverage(totals.coverage);
-  std::cout << "verdict: no promise broken in " << totals.states << " states and " << totals.transitions
+  std::cout << "verdict: no invariant violated in " << totals.states << " states and " << totals.transitions
             << " transitions, "
-            << (totals.is_exhausted ? "all there are in this scope" : "NOT all there are in this scope")
-            << "\n";
+            << (totals.is_exhausted ? "all states of this scope" : "NOT all states of this scope") << "\n";
   return exit_success;
 }
 
@@ -69,36 +68,38 @@
             << " queries, " << std::fixed << std::setprecision(1) << report.seconds << " s, seed "
             << options.seed << "\n";
   if (options.coverage) print_coverage(report.coverage);
-  if (!report.found) {
-    std::cout << "verdict: no promise broken in " << report.steps << " random steps\n";
+  if (!report.counterexample) {
+    std::cout << "verdict: no invariant violated in " << report.steps << " random steps\n";
     return exit_success;
   }
-  std::cout << "broken after " << report.found->history.size() << " moves; making it shorter" << std::endl;
-  Found found = *report.found;
-  found.history = shrink(scope, found.history, found.violations.front().invariant);
-  return report_violation(options, scope.name, found);
+  std::cout << "invariant violated after " << report.counterexample->history.size()
+            << " moves; shrinking the history" << std::endl;
+  Counterexample counterexample = *report.counterexample;
+  counterexample.history = shrink(scope, counterexample.history, counterexample.violations.front().invariant);
+  return report_violation(options, scope.name, counterexample);
 }
 
 int replay_history(const ExploreOptions& options, const History& history) {
   if (history.defect != "none" && !core::has_seeded_defects)
-    std::cout << "its defect, " << history.defect << ", is not in this build\n";
+    std::cout << "this build does not have the history's seeded defect " << history.defect
+              << "; replaying without it\n";
   enable_defect(history.defect);
   const Scope scope = *find_scope(history.scope);
-  const Replay result = replay_in_words(scope, history.moves);
+  const Replay result = replay_with_trace(scope, history.moves);
   print_moves(result);
   const auto violations =
       result.violations.empty() ? replay_to_end(scope, history.moves).violations : result.violations;
   for (const InvariantViolation& violation : violations)
-    std::cout << "broken: " << core::name_of(violation.invariant) << ": " << violation.what << "\n";
+    std::cout << "violated: " << core::name_of(violation.invariant) << ": " << violation.what << "\n";
   std::cout << result.moves.size() << " of " << history.moves.size() << " moves were possible\n";
-  if (!options.as_test.empty()) std::cout << test_of(history, options.as_test);
-  std::cout << "verdict: " << (violations.empty() ? "no promise broken" : "BROKEN") << "\n";
+  if (!options.as_test.empty()) std::cout << test_case_of(history, options.as_test);
+  std::cout << "verdict: " << (violations.empty() ? "no invariant violated" : "BROKEN") << "\n";
   return violations.empty() ? exit_success : exit_failure;
 }
 
 int run_history(const ExploreOptions& options) {
   std::ifstream file(options.history);
-  if (!file) return report_bad_input(options.history + ": can't be read");
+  if (!file) return report_bad_input(options.history + ": cannot be read");
   std::ostringstream text;
   text << file.rdbuf();
   const auto parsed = parse_history(text.str());
@@ -109,7 +110,7 @@
 
 int run(const ExploreOptions& options) {
   if (options.properties) {
-    print_properties();
+    print_invariants();
     return exit_success;
   }
   if (!options.history.empty()) return run_history(options);
@@ -122,23 +123,33 @@
 
 void add_explore_command(CLI::App& app, int& result) {
   const auto options = std::make_shared<ExploreOptions>();
-  auto* explorer = app.add_subcommand("explore", "Search what ships for a history that breaks a promise");
-  explorer->add_option("--scope", options->scope, "tiny, small, medium or large");
-  explorer->add_option("--only", options->only, "Only this part of the scope, or this defect");
-  explorer->add_option("--threads", options->threads, "How many to search with")->check(CLI::Range(1, 64));
-  explorer->add_option("--memory", options->memory_mb, "Stop at so many MB");
-  explorer->add_option("--states", options->states, "Stop at so many states of a part");
-  explorer->add_option("--time", options->time_s, "Stop a part after so many seconds");
-  explorer->add_option("--walk", options->walk_steps, "Instead, random walks of so many steps at size");
-  explorer->add_option("--episode", options->episode_steps, "Steps after which a walk begins anew");
-  explorer->add_option("--seed", options->seed, "Of the walks");
-  explorer->add_option("--history", options->history, "Play this history again");
-  explorer->add_option("--write", options->write_to,
-                       "Where a history goes that breaks a promise; with defects, a folder");
-  explorer->add_option("--as-test", options->as_test, "Print it as a GoogleTest case of this name, too");
-  explorer->add_flag("--properties", options->properties, "Print what is promised, and end");
-  explorer->add_flag("--cases", options->coverage, "Print how often each hard case occurred");
-  explorer->add_flag("--seeded-defects", options->seeded_defects, "Search for each defect of the test build");
+  auto* explorer =
+      app.add_subcommand("explore", "Search the production core for a history that violates an invariant");
+  explorer->add_option("--scope", options->scope, "Scope to search: tiny, small, medium or large");
+  explorer->add_option("--only", options->only,
+                       "Search only the part of the scope, or the seeded defect, with this name");
+  explorer->add_option("--threads", options->threads, "Number of search threads")->check(CLI::Range(1, 64));
+  explorer->add_option("--memory", options->memory_mb, "Stop when the process uses this much memory, in MB");
+  explorer->add_option("--states", options->states,
+                       "Stop the search of each part after this many states; 0: no limit");
+  explorer->add_option("--time", options->time_s,
+                       "Stop the search of each part after this many seconds; 0: no limit");
+  explorer->add_option(
+      "--walk", options->walk_steps,
+      "Instead of a search, make random walks in a large scope, of this many steps in total");
+  explorer->add_option("--episode", options->episode_steps,
+                       "Number of steps after which a random walk restarts from the initial state");
+  explorer->add_option("--seed", options->seed, "Seed of the random walks");
+  explorer->add_option("--history", options->history, "Replay the history in this file");
+  explorer->add_option(
+      "--write", options->write_to,
+      "Write a violating history to this file; with --seeded-defects, write histories to this folder");
+  explorer->add_option("--as-test", options->as_test,
+                       "Also print the history as a GoogleTest case with this name");
+  explorer->add_flag("--properties", options->properties, "Print the invariants and exit");
+  explorer->add_flag("--cases", options->coverage, "Print how often each coverage goal was reached");
+  explorer->add_flag("--seeded-defects", options->seeded_defects,
+                     "Search for each seeded defect of the test build");
   explorer->callback([options, &result] { result = run(*options); });
 }
 
--- a/apps/explore_defects.cpp
+++ b/apps/explore_defects.cpp
@@ -32,19 +32,19 @@
 constexpr int move_count_column = 3;
 
 struct DefectSearch {
-  std::string scope;  // in which it was found
-  std::optional<Found> found;
+  std::string scope;  // where the defect was found
+  std::optional<Counterexample> counterexample;
   double seconds = 0;
 };
 
-/// Goes through the scopes, from the cheapest on, until the defect that is on is found.
-DefectSearch search_for_defect(const Limits& limits) {
+/// Searches the scopes, cheapest first, until the enabled defect is found.
+DefectSearch search_for_defect(const SearchLimits& limits) {
   DefectSearch result;
   for (const Scope& scope : defect_scopes()) {
-    Report report = search(scope, limits, {});
+    SearchReport report = search(scope, limits, {});
     result.seconds += report.seconds;
-    if (!report.found) continue;
-    result.found = std::move(report.found);
+    if (!report.counterexample) continue;
+    result.counterexample = std::move(report.counterexample);
     result.scope = scope.name;
     break;
   }
@@ -53,16 +53,16 @@
 
 void print_defect(const ExploreOptions& options, const std::string& defect, const DefectSearch& search) {
   std::cout << std::left << std::setw(defect_column) << defect;
-  if (search.found) {
-    const History history{search.scope, defect, search.found->history};
-    std::cout << std::setw(invariant_column) << core::name_of(search.found->violations.front().invariant)
-              << std::right << std::setw(move_count_column) << history.moves.size() << " moves, '"
-              << search.scope << "'";
+  if (search.counterexample) {
+    const History history{search.scope, defect, search.counterexample->history};
+    std::cout << std::setw(invariant_column)
+              << core::name_of(search.counterexample->violations.front().invariant) << std::right
+              << std::setw(move_count_column) << history.moves.size() << " moves, '" << search.scope << "'";
     if (!options.write_to.empty()) {
       std::ofstream(options.write_to + "/" + defect + ".history")
-          << text_of(history, search.found->violations);
+          << text_of(history, search.counterexample->violations);
     }
-    if (!options.as_test.empty()) std::cout << "\n" << test_of(history, defect);
+    if (!options.as_test.empty()) std::cout << "\n" << test_case_of(history, defect);
   } else {
     std::cout << "NOT FOUND";
   }
@@ -80,7 +80,7 @@
     enable_defect(defect);
     const DefectSearch result = search_for_defect(limits_of(options));
     ++searched;
-    if (result.found) ++found;
+    if (result.counterexample) ++found;
     print_defect(options, defect, result);
   }
   core::defect_on = core::Defect::none;
@@ -90,8 +90,8 @@
 #else
 int run_defects(const ExploreOptions&) {
   std::cerr
-      << "paddlestand: this build carries no seeded defects; paddlestand-seeded, which is built with the "
-         "tests, does\n";
+      << "paddlestand: this build has no seeded defects; use paddlestand-seeded, which is built with the "
+         "tests\n";
   return exit_bad_usage;
 }
 #endif
--- a/apps/explore_defects.hpp
+++ b/apps/explore_defects.hpp
@@ -1,4 +1,4 @@
-/// The seeded defects of the test build, as `paddlestand explore` uses them.
+/// `paddlestand explore --seeded-defects`, and replays with a seeded defect.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 
 namespace paddlestand::app {
 
-/// Switches the seeded defect of that name on, in a build that has them.
+/// Enables the seeded defect with this name. Has no effect in a build without seeded defects.
 void enable_defect(const std::string& name);
 
-/// Searches for each seeded defect. Returns the exit code: success where each was found, bad usage in a build
-/// without them.
+/// Searches for each seeded defect. Returns the exit code: success if each was found, bad usage in a build
+/// without seeded defects.
 [[nodiscard]] int run_defects(const ExploreOptions& options);
 
 }  // namespace paddlestand::app
--- a/apps/explore_options.hpp
+++ b/apps/explore_options.hpp
@@ -1,4 +1,4 @@
-/// The options of `paddlestand explore`, and what follows from them.
+/// The options of `paddlestand explore`, and the limits that follow from them.
 #pragma once
 
 #include <chrono>
@@ -10,13 +10,12 @@
 
 namespace paddlestand::app {
 
-/// The options of the subcommand.
 struct ExploreOptions {
   std::string scope = "small";
-  std::string only;  ///< this part of the scope, or this defect; empty: all
-  std::string history;  ///< path of the history to replay; empty: none
-  std::string write_to;  ///< path for a history that violates an invariant; with defects, a folder
-  std::string as_test;  ///< name of the GoogleTest case to print; empty: none
+  std::string only;  ///< name of the part of the scope or of the defect to search; empty: all
+  std::string history;  ///< path of a history to replay; empty: none
+  std::string write_to;  ///< path for a violating history, or the folder for those of defects; empty: none
+  std::string as_test;  ///< name of a GoogleTest case to print; empty: none
   unsigned threads = 2;
   std::size_t memory_mb = 4096;
   std::size_t states = 0;  ///< limit for each part; 0: none
@@ -29,9 +28,9 @@
   bool coverage = false;
 };
 
-/// The limits of the search of each part of a scope.
-[[nodiscard]] inline explorer::Limits limits_of(const ExploreOptions& options) {
-  explorer::Limits limits;
+/// The limits for the search of each part of a scope.
+[[nodiscard]] inline explorer::SearchLimits limits_of(const ExploreOptions& options) {
+  explorer::SearchLimits limits;
   limits.threads = options.threads;
   limits.memory_bytes = options.memory_mb << 20U;
   limits.states = options.states;
--- a/apps/explore_output.cpp
+++ b/apps/explore_output.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void print_progress(const Report& report) {
+void print_progress(const SearchReport& report) {
   std::cout << "  ... " << report.states << " states, " << report.transitions << " transitions, depth "
             << report.depth << ", " << static_cast<int>(report.seconds) << " s, "
             << megabytes(memory_in_use()) << std::endl;
@@ -33,22 +33,22 @@
   }
 }
 
-void print_report(const std::string& scope, const Report& report) {
+void print_report(const std::string& scope, const SearchReport& report) {
   std::cout << scope << ": " << report.states << " states, " << report.transitions << " transitions, depth "
-            << report.depth << ", " << report.settled_states << " states at rest, " << std::fixed
+            << report.depth << ", " << report.settled_states << " settled states, " << std::fixed
             << std::setprecision(1) << report.seconds << " s, " << megabytes(report.memory_bytes) << ", ";
   if (report.is_exhausted) {
-    std::cout << "frontier emptied";
+    std::cout << "frontier empty";
   } else {
-    std::cout << "frontier of " << report.frontier << " left, stopped by "
-              << (report.found ? std::string("a violation") : report.stopped);
+    std::cout << "frontier of " << report.frontier << " states, stopped by "
+              << (report.counterexample ? std::string("a violation") : report.stopped);
   }
   std::cout << std::endl;
 }
 
 void print_moves(const Replay& replay) {
   int number = 0;
-  for (const std::string& line : replay.lines) {
+  for (const std::string& line : replay.trace) {
     if (line.starts_with(" ")) {
       std::cout << "     " << line << "\n";
     } else {
@@ -58,7 +58,7 @@
   }
 }
 
-void print_properties() {
+void print_invariants() {
   for (std::size_t i = 0; i < static_cast<std::size_t>(Invariant::count); ++i) {
     const auto invariant = static_cast<Invariant>(i);
     std::cout << std::left << std::setw(18) << core::name_of(invariant) << core::sentence_of(invariant)
@@ -66,18 +66,19 @@
   }
 }
 
-int report_violation(const ExploreOptions& options, const std::string& scope, const Found& found) {
-  const History history{scope, std::string(core::defect_names[0]), found.history};
-  const std::string text = text_of(history, found.violations);
+int report_violation(const ExploreOptions& options, const std::string& scope,
+                     const Counterexample& counterexample) {
+  const History history{scope, std::string(core::defect_names[0]), counterexample.history};
+  const std::string text = text_of(history, counterexample.violations);
   std::cout << text;
   if (!options.write_to.empty()) {
     std::ofstream file(options.write_to);
     file << text;
-    if (!file.flush()) return report_bad_input(options.write_to + ": can't be written");
-    std::cout << "written to " << options.write_to << "\n";
+    if (!file.flush()) return report_bad_input(options.write_to + ": cannot be written");
+    std::cout << "history written to " << options.write_to << "\n";
   }
-  if (!options.as_test.empty()) std::cout << test_of(history, options.as_test);
-  std::cout << "verdict: BROKEN: " << core::name_of(found.violations.front().invariant) << "\n";
+  if (!options.as_test.empty()) std::cout << test_case_of(history, options.as_test);
+  std::cout << "verdict: BROKEN: " << core::name_of(counterexample.violations.front().invariant) << "\n";
   return exit_failure;
 }
 
--- a/apps/explore_output.hpp
+++ b/apps/explore_output.hpp
@@ -1,4 +1,4 @@
-/// What `paddlestand explore` prints and writes.
+/// The output of `paddlestand explore`.
 #pragma once
 
 #include <string>
@@ -9,19 +9,19 @@
 
 namespace paddlestand::app {
 
-/// Prints how far a search is.
-void print_progress(const explorer::Report& report);
+/// Prints the progress of a search.
+void print_progress(const explorer::SearchReport& report);
 /// Prints how often each coverage goal was reached.
 void print_coverage(const explorer::CoverageCounts& counts);
-/// Prints how the search of a part of a scope ended.
-void print_report(const std::string& scope, const explorer::Report& report);
-/// Prints the moves of a replay, numbered, with what followed from each.
+/// Prints the result of the search of one part of a scope.
+void print_report(const std::string& scope, const explorer::SearchReport& report);
+/// Prints the moves of a replay, numbered, each followed by the actions that it caused.
 void print_moves(const explorer::Replay& replay);
-/// Prints each invariant and what it says.
-void print_properties();
-/// Prints a history that violates an invariant, and writes it to a file if that was asked for. Returns the
+/// Prints the name and description of each invariant.
+void print_invariants();
+/// Prints a history that violates an invariant, and writes it to a file if the options name one. Returns the
 /// exit code.
 [[nodiscard]] int report_violation(const ExploreOptions& options, const std::string& scope,
-                                   const explorer::Found& found);
+                                   const explorer::Counterexample& counterexample);
 
 }  // namespace paddlestand::app
--- a/simulation/explorer/action_recorder.cpp
+++ b/simulation/explorer/action_recorder.cpp
@@ -16,7 +16,7 @@
 std::string query_text(QueryId query) { return "query " + std::to_string(query); }
 std::string channel_text(ChannelId channel) { return "channel " + std::to_string(channel); }
 
-/// Whether time was up while the channel of a further attempt was opening.
+/// Whether the deadline passed while the channel of a retry was opening.
 bool ended_while_reconnecting(const core::Answer& action, const ObservedQuery& observed) {
   if (!action.deadline_exceeded || action.attempts.size() <= 1) return false;
   if (action.attempts.size() <= observed.attempts_sent) return false;
@@ -46,15 +46,15 @@
   channel->progress_reports = 0;
   const bool is_stalled = model_.engine_of(*channel).is_stalled;
   channel->transmission = is_stalled ? Transmission::partial : Transmission::complete;
-  model_.add_to_trace(query_text(action.query) + (is_stalled ? " half" : "") + " sent on " +
+  model_.add_to_trace(query_text(action.query) + (is_stalled ? " partially" : "") + " sent on " +
                       channel_text(action.channel) + " to engine " + std::to_string(channel->engine));
   if (!is_stalled) return core::WriteResult::complete;
   model_.cover(CoverageGoal::query_partially_written);
   return core::WriteResult::partial;
 }
 
-// A closed channel's query may still run on its engine, whatever the manager makes of it: another one of the
-// same key must not be sent meanwhile.
+// The query of a closed channel may still run on its engine, however the manager has ended the attempt: until
+// then, no other query with the same ordering key may be sent.
 void ActionRecorder::check_order(QueryId query, const ObservedQuery& observed) {
   if (observed.query_class != QueryClass::ordered_by_key) return;
   for (const EngineSideChannel& channel : manager_.channels) {
@@ -64,8 +64,8 @@
     if (other == manager_.queries.end()) continue;
     if (other->second.query_class == QueryClass::ordered_by_key &&
         other->second.ordering_key == observed.ordering_key) {
-      report(Invariant::order, query_text(query) + " is sent at once while " + query_text(channel.query) +
-                                   " of its key may run");
+      report(Invariant::order, query_text(query) + " is sent while " + query_text(channel.query) +
+                                   " with the same ordering key may still run");
     }
   }
 }
@@ -135,7 +135,7 @@
 void ActionRecorder::execute(const core::Deliver& action) {
   EngineSideChannel* channel = manager_.find_channel(action.channel);
   if (channel == nullptr) {
-    report(Invariant::own_rows, "rows of no channel are delivered");
+    report(Invariant::own_rows, "rows of an unknown channel are delivered");
     return;
   }
   std::size_t client_index = client_of(action.session);
@@ -158,11 +158,11 @@
   ObservedQuery& observed = manager_.queries[row.query];
   const std::string text = "row " + std::to_string(row.number) + " of " + query_text(row.query);
   if (manager_.clients[client_index].active_query != row.query)
-    report(Invariant::own_rows, text + " goes to client " + std::to_string(client_index));
-  if (observed.is_answered) report(Invariant::nothing_after, text + " is delivered behind the final answer");
+    report(Invariant::own_rows, text + " is delivered to client " + std::to_string(client_index));
+  if (observed.is_answered) report(Invariant::nothing_after, text + " is delivered after the final answer");
   if (observed.rows_channel == 0) observed.rows_channel = row.channel;
-  if (observed.rows_channel != row.channel) report(Invariant::own_rows, text + " is another attempt's");
-  if (observed.rows_delivered != row.number) report(Invariant::whole_answer, text + " comes out of its turn");
+  if (observed.rows_channel != row.channel) report(Invariant::own_rows, text + " belongs to another attempt");
+  if (observed.rows_delivered != row.number) report(Invariant::whole_answer, text + " is out of order");
   observed.rows_delivered = static_cast<std::uint8_t>(row.number + 1);
 }
 
@@ -191,21 +191,22 @@
   if (action.kind != core::AnswerKind::served) return;
   const EngineSideChannel* channel = manager_.find_channel(observed.rows_channel);
   if (channel == nullptr || channel->parts() + 1 != observed.rows_delivered)
-    report(Invariant::whole_answer, query_text(action.query) + " is called served, and rows are missing");
+    report(Invariant::whole_answer,
+           query_text(action.query) + " is answered as served, but rows are missing");
 }
 
 void ActionRecorder::update_client(const core::Answer& action, std::uint32_t client_index) {
   Client& client = manager_.clients[client_index];
   if (client.active_query == action.query) client.active_query = 0;
-  // It has everything: how it reads matters again with its next query.
+  // All bytes are delivered: whether the client reads has no effect until its next query.
   if (client.undelivered_bytes == 0) client.is_reading = true;
   if (action.kind == core::AnswerKind::cancelled && client.is_connected &&
       client.cancelled_query != action.query) {
     report(Invariant::own_cancel,
-           query_text(action.query) + " is cancelled, and its client asked for another's cancel");
+           query_text(action.query) + " is cancelled, but its client did not request that");
   }
-  // The order of the service: it accepts what was pipelined, then writes the answer, which shows whether the
-  // connection is broken.
+  // The same order as in the service: it accepts the pipelined query, then writes the answer, and that write
+  // detects a broken connection.
   submit_pipelined_query(client_index);
   disconnect_if_broken(client_index);
 }
@@ -227,7 +228,7 @@
   model_.dispatch(manager_index_, core::SessionClosed{manager_.session_of(client_index)});
 }
 
-// ---- The manager itself ----
+// ---- Manager ----
 
 void ActionRecorder::execute(const core::LogMessage& action) { model_.add_to_trace("log: " + action.text); }
 
--- a/simulation/explorer/action_recorder.hpp
+++ b/simulation/explorer/action_recorder.hpp
@@ -1,5 +1,5 @@
-/// The hosts that the explorer puts below a manager: one that executes its actions on a ModelState and checks
-/// each against what the model knows, and one that only detects whether there are any.
+/// The explorer's implementations of a manager's host: one executes the manager's actions on a ModelState and
+/// checks each against the model, the other only detects whether an event causes any action.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 namespace paddlestand::explorer {
 
-/// Executes the actions of one manager on the model and reports what violates an invariant at its boundary.
-/// Short-lived: made for one event; refers to the model.
+/// Executes the actions of one manager on the model and reports those that violate an invariant. Created for
+/// one event; holds a reference to the model.
 class ActionRecorder final : public core::HostInterface {
  public:
   ActionRecorder(ModelState& model, std::uint32_t manager_index);
@@ -46,7 +46,7 @@
   ManagerState& manager_;
 };
 
-/// Detects whether an event causes any action but a log message. Executes none.
+/// Detects whether an event causes any action other than a log message. Executes none.
 class ActionDetector final : public core::HostInterface {
  public:
   explicit ActionDetector(TimePoint now) : now_(now) {}
--- a/simulation/explorer/coverage.cpp
+++ b/simulation/explorer/coverage.cpp
@@ -7,19 +7,19 @@
     "a late answer after a retry",
     "a cancel racing a drain notice",
     "a drain notice racing the send",
-    "answer, then time-out, in one step",
-    "time-out, then answer, in one step",
-    "client disconnects between two attempts",
-    "rejected by every engine",
-    "an engine removed and back within the grace",
-    "a key's settle time ending while an attempt is active",
-    "a deadline between retry and connect",
+    "an answer, then a timeout at the same time",
+    "a timeout, then an answer at the same time",
+    "a client that disconnects between two attempts",
+    "a query rejected by every engine",
+    "an engine removed and restored within the drain grace",
+    "an ordering key's settle time that ends during an attempt",
+    "a deadline between a retry and its connect",
     "a progress report for an ended attempt",
-    "shutdown with everything in flight",
-    "an answer on a channel being cancelled",
+    "a shutdown with several queries in flight",
+    "an answer on a channel with a pending cancel",
     "a retry after a reset",
-    "a cancel that comes after the end",
-    "a query of which half was written"};
+    "a channel closed with a pending cancel",
+    "a query that was partially written"};
 
 }  // namespace
 
--- a/simulation/explorer/coverage.hpp
+++ b/simulation/explorer/coverage.hpp
@@ -1,4 +1,4 @@
-/// Coverage goals: the rare situations that an exploration has to pass through before its verdict says much.
+/// Coverage goals: rare situations that an exploration must reach for its verdict to be meaningful.
 #pragma once
 
 #include <array>
@@ -13,8 +13,8 @@
   late_answer_after_resend,
   cancel_during_drain,
   drain_during_send,
-  answer_then_timeout,  ///< in one step
-  timeout_then_answer,  ///< in one step
+  answer_then_timeout,  ///< due at the same time; the answer is handled first
+  timeout_then_answer,  ///< at the same time; the timeout is handled first
   client_gone_between_attempts,
   all_engines_overloaded,
   engine_removed_and_back_within_grace,
@@ -31,7 +31,7 @@
 
 inline constexpr std::size_t coverage_goal_count = static_cast<std::size_t>(CoverageGoal::count);
 
-/// The goals that one move has reached.
+/// The goals that one move reached.
 using Coverage = std::bitset<coverage_goal_count>;
 
 /// How many moves have reached each goal, by CoverageGoal.
--- a/simulation/explorer/digest.cpp
+++ b/simulation/explorer/digest.cpp
@@ -9,10 +9,10 @@
 namespace paddlestand::explorer {
 namespace {
 
-constexpr double time_resolution_s = 1e-3;  // closer times are equal, except for their order
-constexpr double max_since_s = 1.5;  // events further back are equal
+constexpr double time_resolution_s = 1e-3;  // closer times are treated as equal, apart from their order
+constexpr double max_since_s = 1.5;  // older events are treated as equally old
 constexpr double max_until_s = 60;
-constexpr double max_exact_integer = 64;  // larger numbers are compared by magnitude
+constexpr double max_exact_integer = 64;  // larger numbers are rounded to a power of two
 constexpr double epsilon = 1e-9;
 
 std::uint64_t hash_of(const std::vector<std::uint64_t>& words, std::size_t from) {
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-// Counts are hashed exactly; learned values (rates, biases, means) only to the nearest power of two: they
-// influence choices whose outcome is part of the state anyway.
+// Counts are hashed exactly. Learned values (rates, biases, means) are rounded to the nearest power of two:
+// they only influence choices whose outcome is part of the state.
 void Digest::number(double& value) {
   if (std::abs(value) < epsilon) {
     put(0);
@@ -45,7 +45,7 @@
   put(static_cast<std::uint64_t>(std::max(elapsed, 0.0) / time_resolution_s + 0.5));
 }
 
-// A timer that is due differs from one that will be in a moment.
+// A timer that is due hashes differently from one that is due very soon.
 void Digest::until(double& time) {
   const double remaining = std::min(time - now_ - behind_ - lag_, max_until_s);
   if (remaining <= epsilon) {
@@ -72,7 +72,7 @@
   }
   Frame& frame = frames_.back();
   if (!frame.in_order && frame.has_entry && words_.size() == frame.start) {
-    frame.defines = id;
+    frame.defined_channel = id;
   } else {
     put(~std::uint64_t{0});
   }
@@ -95,8 +95,8 @@
   const std::uint64_t hash = hash_of(words_, frame.start);
   frame.sum += hash * (hash | 1);  // independent of the order; equal entries don't cancel
   words_.resize(frame.start);
-  if (frame.defines != 0) channels_.emplace(frame.defines, hash);
-  frame.defines = 0;
+  if (frame.defined_channel != 0) channels_.emplace(frame.defined_channel, hash);
+  frame.defined_channel = 0;
 }
 
 void Digest::end() {
--- a/simulation/explorer/digest.hpp
+++ b/simulation/explorer/digest.hpp
@@ -1,5 +1,6 @@
-/// Digests a state, so that two states that can only continue in the same way are equal: times relative to
-/// now, engines under a permutation, channels by their properties instead of by number, tables without order.
+/// Digest of a state. States with the same possible continuations have the same digest: times are relative to
+/// now, engines are permuted, channels are identified by their properties instead of their numbers, and
+/// unordered tables are hashed independently of order.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +12,29 @@
 
 namespace paddlestand::explorer {
 
-/// Visits a state and hashes its fields. One object for each digest.
+/// Visits a state and hashes its fields. Used for one digest.
 class Digest final : public StateVisitor {
  public:
-  /// `engine_names`: what each engine is called, by its id; ids beyond keep theirs. Must outlive this object.
+  /// `engine_names`: the name to hash for each engine, by id; ids beyond its size are hashed as they are.
+  /// Must outlive this object.
   explicit Digest(std::span<const std::uint8_t> engine_names) : engine_names_(engine_names) {
     frames_.push_back({});
   }
 
   void clock(double& now) override { now_ = now; }
   void behind(double seconds) override { behind_ = seconds; }
-  /// Seconds that passed since the visited part last learned the time.
+  /// Seconds since the visited part's clock was last updated.
   void set_lag(double seconds) { lag_ = seconds; }
   void number(double& value) override;
   void integer(std::uint64_t& value) override { put(value); }
   void since(double& time) override;
   void until(double& time) override;
-  // Histories are shorter than the counting windows: only that an event is counted matters, not when.
+  // Histories are shorter than the counting windows, so the time at which an event was counted has no
+  // effect.
   void counted(double&) override {}
   void name(Name kind, std::uint64_t& id) override;
-  // Random numbers only break ties between equal engines; docs/architecture/exploration.md says what that
-  // loses.
+  // Random numbers only break ties between equal engines; docs/architecture/exploration.md describes what
+  // ignoring them misses.
   void generator(std::mt19937_64&) override {}
   std::size_t table(std::size_t entries, bool in_order) override;
   void entry() override;
@@ -41,9 +44,9 @@
 
  private:
   struct Frame {
-    std::size_t start = 0;  // of its current entry
+    std::size_t start = 0;  // of the current entry in `words_`
     std::uint64_t sum = 0;
-    std::uint64_t defines = 0;  // the channel that this entry describes, or zero
+    std::uint64_t defined_channel = 0;  // the channel that the entry describes, or zero
     bool in_order = true;
     bool has_entry = false;
   };
@@ -57,10 +60,10 @@
   double lag_ = 0;
   std::vector<std::uint64_t> words_;
   std::vector<Frame> frames_;
-  std::unordered_map<std::uint64_t, std::uint64_t> channels_;  // the hash of each, once known
+  std::unordered_map<std::uint64_t, std::uint64_t> channels_;  // hashes by id, once computed
 };
 
-/// Counts the requests that a module still knows of.
+/// Counts the requests that the decision module still tracks.
 class RequestCounter final : public StateVisitor {
  public:
   void clock(double&) override {}
--- a/simulation/explorer/history.cpp
+++ b/simulation/explorer/history.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view header = "paddlestand history 1";
-constexpr std::size_t max_moves = 1'000'000;  // of a file
+constexpr std::size_t max_moves = 1'000'000;  // in one file
 constexpr unsigned max_manager = 255;
 
 std::string without_comment(std::string line) {
@@ -19,7 +19,7 @@
   return line;
 }
 
-/// Reads a history line by line. Each function returns what it expected instead, if anything.
+/// Parses a history line by line. On an error, each function returns what was expected instead.
 class HistoryParser {
  public:
   using Expected = std::optional<std::string>;
@@ -67,10 +67,10 @@
 
 }  // namespace
 
-std::string HistoryError::text() const { return std::to_string(line) + ": wanted: " + expected; }
+std::string HistoryError::text() const { return std::to_string(line) + ": expected " + expected; }
 
 std::optional<Scope> find_scope(const std::string& name) {
-  for (const Size size : {Size::tiny, Size::small, Size::medium, Size::large}) {
+  for (const ScopeSize size : {ScopeSize::tiny, ScopeSize::small, ScopeSize::medium, ScopeSize::large}) {
     for (Scope& scope : scopes_of(size)) {
       if (scope.name == name) return std::move(scope);
     }
@@ -97,7 +97,7 @@
     for (const std::string& line : model.trace()) out << "    # -> " << line << "\n";
   }
   for (const InvariantViolation& violation : violations)
-    out << "# broken: " << core::name_of(violation.invariant) << ": " << violation.what << "\n";
+    out << "# violated: " << core::name_of(violation.invariant) << ": " << violation.what << "\n";
   return out.str();
 }
 
@@ -116,11 +116,11 @@
     if (line.empty()) continue;
     if (auto expected = parser.read_line(line)) return HistoryError{number, std::move(*expected)};
   }
-  if (parser.history().scope.empty()) return HistoryError{number, "scope, and a name"};
+  if (parser.history().scope.empty()) return HistoryError{number, "a line 'scope NAME'"};
   return std::move(parser.history());
 }
 
-std::string test_of(const History& history, const std::string& name) {
+std::string test_case_of(const History& history, const std::string& name) {
   std::ostringstream out;
   out << "TEST(FoundHistory, " << name << ") {\n  expect_violation_only_with_defect(\"" << history.scope
       << "\", \"" << history.defect << "\",\n        {\n";
--- a/simulation/explorer/model_apply.cpp
+++ b/simulation/explorer/model_apply.cpp
@@ -1,4 +1,4 @@
-// What each step does to a ModelState.
+// The effect of each step on a ModelState.
 #include <algorithm>
 #include <chrono>
 #include <exception>
@@ -17,10 +17,10 @@
 using core::Ending;
 using core::seeded;
 
-constexpr Duration just_before = 1us;
-constexpr Duration timer_delay = 10ms;  // less than the module's margin: a slower host may violate invariants
+constexpr Duration lead_before_timer = 1us;
+constexpr Duration timer_delay = 10ms;  // within the module's margin: a longer delay may violate invariants
 constexpr Duration shutdown_grace = 250ms;
-constexpr int max_quiet_ticks = 400;
+constexpr int max_idle_ticks = 400;
 constexpr double reported_progress = 0.5;
 
 }  // namespace
@@ -85,7 +85,7 @@
   dispatch(manager_index, core::SessionClosed{manager.session_of(client_index)});
 }
 
-// Where the client has disconnected, another one takes its place.
+// If the client has disconnected, a new client takes its place.
 void ModelState::resume_reading(std::uint32_t manager_index, std::uint32_t client_index) {
   ManagerState& manager = managers_[manager_index];
   Client& client = manager.clients[client_index];
@@ -122,7 +122,7 @@
       break;
     case Step::cancel_reaches_engine:
     case Step::answer_after_close:
-    case Step::progress_after_close: apply_crossing_step(move, channel); break;
+    case Step::progress_after_close: apply_in_transit_step(move, channel); break;
     default: apply_answer_step(move, channel); break;
   }
 }
@@ -171,7 +171,7 @@
   channel.buffer_next_row();
   ++channel.large_parts;
   dispatch(manager, core::AnswerPart{id, large_part_bytes});
-  // The part may have made the manager close the channel.
+  // The manager may have closed the channel when it received the part.
   EngineSideChannel* remaining = managers_[manager].find_channel(id);
   if (remaining == nullptr || remaining->query != query) return;
   if (remaining->transmission == Transmission::complete) end_answer(manager, *remaining, Ending::complete);
@@ -204,8 +204,8 @@
   if (next_due() == now_) cover(CoverageGoal::answer_then_timeout);
 }
 
-// What crosses on its way with something that the manager or the engine did meanwhile.
-void ModelState::apply_crossing_step(const Move& move, EngineSideChannel& channel) {
+// Messages that were in transit while the manager or the engine acted.
+void ModelState::apply_in_transit_step(const Move& move, EngineSideChannel& channel) {
   switch (move.step) {
     case Step::cancel_reaches_engine: cancel_reaches_engine(move.manager, channel); break;
     case Step::answer_after_close: answer_after_close(move.manager, channel); break;
@@ -224,7 +224,7 @@
   if (channel.transmission != Transmission::complete) return;
   if (channel.query != target) {
     report_violation(Invariant::own_cancel, "a cancel for query " + std::to_string(target) +
-                                                " strikes query " + std::to_string(channel.query));
+                                                " reaches query " + std::to_string(channel.query));
   }
   end_answer(manager, channel, Ending::cancelled);
 }
@@ -315,7 +315,8 @@
     const auto& monitor = manager.dispatcher.monitor();
     if (monitor && monitor->key_settles_while_active(now_, time))
       cover(CoverageGoal::settle_time_ends_during_attempt);
-    // What crosses with a close does so at once.
+    // Messages that cross with the close of a channel arrive without delay, so closed channels can be
+    // removed.
     std::erase_if(manager.channels, [](const EngineSideChannel& channel) { return channel.is_closed; });
     std::erase_if(manager.queries, [](const auto& entry) {
       return entry.second.is_answered && entry.second.attempts_in_flight == 0;
@@ -324,25 +325,25 @@
   now_ = time;
 }
 
-// Passes over the timers that cause no action, up to just before one that does.
+// Skips the timers that cause no action, up to just before the first one that does.
 void ModelState::advance_before_timer() {
   if (scope_->endless) {
-    advance_to(std::max(now_, *next_due() - just_before));
+    advance_to(std::max(now_, *next_due() - lead_before_timer));
     return;
   }
   core::EventDispatcher& dispatcher = managers_[0].dispatcher;
   core::EventDispatcher lookahead = dispatcher;
-  int quiet_ticks = 0;
-  for (; quiet_ticks < max_quiet_ticks; ++quiet_ticks) {
+  int idle_ticks = 0;
+  for (; idle_ticks < max_idle_ticks; ++idle_ticks) {
     ActionDetector detector(*lookahead.due());
     lookahead.dispatch(core::TimerExpired{}, detector);
     if (detector.has_detected()) break;
   }
-  for (int tick = 0; tick < quiet_ticks; ++tick) {
+  for (int tick = 0; tick < idle_ticks; ++tick) {
     advance_to(*dispatcher.due());
     dispatch(0, core::TimerExpired{});
   }
-  advance_to(std::max(now_, *dispatcher.due() - just_before));
+  advance_to(std::max(now_, *dispatcher.due() - lead_before_timer));
 }
 
 void ModelState::fire_timers() {
--- a/simulation/explorer/model_describe.cpp
+++ b/simulation/explorer/model_describe.cpp
@@ -1,4 +1,4 @@
-// Moves in words, for histories.
+// Descriptions of moves, for histories.
 #include <array>
 #include <sstream>
 #include <string_view>
@@ -8,46 +8,47 @@
 namespace paddlestand::explorer {
 namespace {
 
-/// What happens in each step, by Step; `{}` stands for the subject. A channel's own name goes before it.
+/// What happens in each step, by Step; `{}` stands for the subject. The steps of a channel follow the
+/// channel's name.
 constexpr std::array<std::string_view, step_count> descriptions{
     "client {} submits query ",
     "client {} requests a cancel",
     "client {} disconnects",
     "client {} stops reading",
-    "client {} disconnects, not noticed yet",
+    "client {} disconnects, not detected by the manager yet",
     "client {} resumes reading",
-    "is open",
-    "is refused",
-    "has no free descriptor to open with",
-    "is lost",
-    "violates the protocol",
+    "opened",
+    "connection refused",
+    "no file descriptor left to open it",
+    "reset",
+    "protocol error",
     "the remainder of the query is written",
-    "part of an answer",
+    "a small part of an answer",
     "a large part of an answer",
     "a large part of an answer, and its end in the same read",
     "the answer is complete",
-    "the answer is complete, and the channel not reusable",
-    "the engine fails",
-    "the engine is full",
+    "the answer is complete; the channel cannot be reused",
+    "the engine answers with an error",
+    "the engine is overloaded and rejects the query",
     "a progress report",
-    "a cancel strikes",
-    "an answer that crossed with its close",
-    "a progress report that crossed with its close",
+    "a cancel reaches the engine",
+    "an answer that was sent before the engine saw the close",
+    "a progress report that was sent before the engine saw the close",
     "engine {} stops reading",
     "engine {} resumes reading",
-    "notified that engine {} drains",
+    "notified that engine {} is draining",
     "notified that engine {} was removed",
-    "notified that engine {} is back, warming up",
+    "notified that engine {} was restored, in slow start",
     "notified that engine {} has restarted",
     "notified that discovery failed",
-    "time passes, to just before something falls due",
-    "time passes, to the moment itself",
-    "the timer is late",
-    "what is due fires",
+    "time advances to just before a timer is due",
+    "time advances to when the timer is due",
+    "the timer is delayed",
+    "all due timers fire",
     "shutdown begins"};
 
-constexpr std::array<std::string_view, query_class_count> class_names{"safe", "keyed", "unsafe", "in turn",
-                                                                      "bound"};
+constexpr std::array<std::string_view, query_class_count> class_names{"safe", "keyed", "unsafe",
+                                                                      "ordered by key", "bound"};
 
 std::string description_of(const Move& move) {
   std::string text(descriptions[static_cast<std::size_t>(move.step)]);
--- a/simulation/explorer/model_digest.cpp
+++ b/simulation/explorer/model_digest.cpp
@@ -1,4 +1,4 @@
-// The digest of a ModelState: the least one over all ways to permute the names of equal engines.
+// The digest of a ModelState: the minimum over all permutations of the names of equal engines.
 #include <algorithm>
 #include <numeric>
 #include <utility>
@@ -12,7 +12,7 @@
 
 using EngineNames = std::vector<std::uint8_t>;  // by engine id; id 0 is unused
 
-/// All permutations of engines that keep each in its zone: engines of one zone are interchangeable.
+/// All permutations of engines within their zones. The engines of one zone are interchangeable.
 std::vector<EngineNames> permutations_within_zones(std::uint32_t engines, std::uint32_t zones) {
   std::vector<std::uint8_t> order(engines);
   std::iota(order.begin(), order.end(), std::uint8_t{1});
--- a/simulation/explorer/model_entities.cpp
+++ b/simulation/explorer/model_entities.cpp
@@ -26,7 +26,7 @@
   if (observed != queries.end()) observed->second.finish_attempt();
 }
 
-// A client that replaces another has a session id of its own: none is used twice.
+// A client that replaces another gets a new session id; session ids are never reused.
 core::SessionId ManagerState::session_of(std::uint32_t client) const {
   return std::uint64_t{clients[client].sessions_before} * max_clients + client + 1;
 }
--- a/simulation/explorer/model_moves.cpp
+++ b/simulation/explorer/model_moves.cpp
@@ -1,4 +1,4 @@
-// Which moves are possible in a ModelState, and which one a system without further faults makes.
+// The moves that are possible in a ModelState, and the next move without further faults.
 #include <algorithm>
 #include <chrono>
 
@@ -7,9 +7,9 @@
 namespace paddlestand::explorer {
 namespace {
 
-/// A timer due within this is the next thing to happen: such differences come from steps to just before a
-/// timer.
-constexpr Duration near_due = std::chrono::microseconds(100);
+/// Time is advanced to a timer that is due within this period without a step to just before it: such a short
+/// distance is what a step to just before a timer leaves.
+constexpr Duration due_soon = std::chrono::microseconds(100);
 
 }  // namespace
 
@@ -61,19 +61,19 @@
     const Client& client = clients[index];
     const auto add = [&](Step step) { moves.push_back({step, manager, index}); };
     if (!client.is_connected) {
-      // In the endless scope another client takes its place.
+      // In the endless scope, a new client takes its place.
       if (scope_->endless) add(Step::resume_reading);
       continue;
     }
     const bool has_query = client.active_query != 0;
-    const bool is_owed_bytes = client.undelivered_bytes > 0;
+    const bool has_undelivered_bytes = client.undelivered_bytes > 0;
     const bool may_cancel_late = client.queries_submitted > 0 && has_next_query(manager, index);
     if (may_submit(manager, index)) add(Step::submit_query);
     if (has_query || may_cancel_late) add(Step::cancel_query);
-    if (has_query || is_owed_bytes) add(Step::disconnect_client);
+    if (has_query || has_undelivered_bytes) add(Step::disconnect_client);
     if (client.is_reading && has_query) add(Step::stop_reading);
     if (scope_->pipelined && !client.is_broken && has_query) add(Step::break_connection);
-    if (!client.is_reading && is_owed_bytes) add(Step::resume_reading);
+    if (!client.is_reading && has_undelivered_bytes) add(Step::resume_reading);
   }
 }
 
@@ -83,8 +83,8 @@
   if (client.active_query != 0 || client.undelivered_bytes > 0) return false;
   if (!has_next_query(manager, index)) return false;
   if (scope_->endless || client.queries_submitted > 0) return true;
-  // Of equal first queries of different clients, the one of the lowest index comes first: the other orders
-  // are the same history under other names.
+  // If several clients have equal first queries, the client with the lowest index submits first: other orders
+  // give the same histories with the clients renamed.
   const PlannedQuery own = planned_query(manager, index, 0);
   for (std::uint32_t other = 0; other < index; ++other) {
     const PlannedQuery first = planned_query(manager, other, 0);
@@ -166,7 +166,7 @@
   if (may_disrupt) add(Step::restart_engine);
 }
 
-// A stall has an effect only on what is sent after it.
+// A stall only affects queries that are sent after it.
 bool ModelState::has_unused_channel(EngineId id) const {
   const auto is_unused = [id](const EngineSideChannel& channel) {
     return channel.engine == id && !channel.is_closed && channel.transmission == Transmission::none;
@@ -179,10 +179,10 @@
 // ---- Time ----
 
 void ModelState::add_time_moves(std::vector<Move>& moves) const {
-  if (is_quiet()) return;
+  if (is_idle()) return;
   const auto due = next_due();
   if (!due) return;
-  if (*due > now_ + near_due) {
+  if (*due > now_ + due_soon) {
     moves.push_back({Step::advance_before_timer});
   } else if (*due > now_) {
     moves.push_back({Step::advance_to_timer});
@@ -201,8 +201,8 @@
   return first;
 }
 
-// Nothing is in flight, so that time alone would pass.
-bool ModelState::is_quiet() const {
+// Nothing is in flight, so advancing time would have no other effect.
+bool ModelState::is_idle() const {
   if (scope_->endless) return false;
   return std::all_of(managers_.begin(), managers_.end(), [](const ManagerState& manager) {
     const core::Counts counts = manager.dispatcher.counts();
--- a/simulation/explorer/model_settings.hpp
+++ b/simulation/explorer/model_settings.hpp
@@ -1,5 +1,5 @@
-/// Settings that the explorer's scopes and the core's tests have in common. Each adds what it is about:
-/// classes, timers and bounds.
+/// Settings shared by the explorer's scopes and the tests of the core, which add their own classes, timers
+/// and limits.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 namespace paddlestand::explorer {
 
-/// A class without deadlines: they differ from one user to the next.
+/// A query class without a deadline, which each scope or test sets itself.
 inline ClassSettings model_class_settings(std::string name) {
   ClassSettings settings;
   settings.name = std::move(name);
@@ -20,7 +20,8 @@
   return settings;
 }
 
-/// The decision module of one manager that may cancel, probe and advise retries; without classes and kinds.
+/// Settings of the decision module of a single manager that may cancel, probe and advise retries, without
+/// query classes and kinds of engine.
 inline Settings model_module_settings() {
   Settings settings;
   settings.instances = 1;
--- a/simulation/explorer/model_state.cpp
+++ b/simulation/explorer/model_state.cpp
@@ -66,7 +66,7 @@
     }
     return {};
   }
-  // A hash of who submits and how often it did: well mixed, and the same in every run.
+  // A hash of the manager, the client and the query's number: well mixed, and the same in every run.
   std::uint64_t mixed = (manager * 1000003ULL + client) * 1000003ULL + nth;
   mixed = (mixed ^ (mixed >> 29U)) * 0xbf58476d1ce4e5b9ULL;
   mixed ^= mixed >> 32U;
@@ -76,7 +76,7 @@
   return query;
 }
 
-// Zero: the client has no such query.
+// Zero if the client has no such query.
 QueryId ModelState::query_id(std::uint32_t client, std::uint32_t nth) const {
   if (scope_->endless) return std::uint64_t{nth} * 256 + client + 1;
   for (std::size_t i = 0; i < scope_->queries.size(); ++i) {
@@ -91,12 +91,12 @@
 
 bool ModelState::spends_fault(const Move& move) const {
   if (!is_fault(move.step)) return false;
-  // The end of a channel whose engine's process has ended is no further fault.
+  // The reset of a channel whose engine process has ended is not a fault of its own.
   const EngineSideChannel* channel = channel_of(move);
   return move.step != Step::channel_reset || channel == nullptr || has_running_process(*channel);
 }
 
-// ---- Events that several kinds of step cause ----
+// ---- Events of several kinds of step ----
 
 void ModelState::submit_query(std::uint32_t manager_index, std::uint32_t client_index) {
   ManagerState& manager = managers_[manager_index];
@@ -123,7 +123,7 @@
     dispatch(manager_index, core::ClientCancelled{manager.session_of(client_index)});
 }
 
-// A delta names one engine; a full list, those that are not removed.
+// A delta holds one engine; a full list holds all engines that are not removed.
 void ModelState::announce_endpoints(EndpointUpdate update, EngineId engine) {
   core::EndpointsUpdated event;
   event.scope = update;
@@ -150,21 +150,22 @@
   const auto leak = [](std::string what) { return InvariantViolation{Invariant::all_ends, std::move(what)}; };
   for (ManagerState& manager : managers_) {
     const core::Counts counts = manager.dispatcher.counts();
-    if (counts.queries_open > 0) return leak("a query remains, and nothing is due");
-    if (counts.attempts_out > 0) return leak("an attempt remains, and nothing is due");
-    if (counts.channels > counts.channels_probing) return leak("a channel remains, and nothing is due");
-    if (counts.bytes_buffered > 0) return leak("bytes remain in a buffer");
+    if (counts.queries_open > 0) return leak("a query is still open, but no timer is due");
+    if (counts.attempts_out > 0) return leak("an attempt is still in flight, but no timer is due");
+    if (counts.channels > counts.channels_probing)
+      return leak("a channel is still open, but no timer is due");
+    if (counts.bytes_buffered > 0) return leak("answer bytes are still buffered");
     for (const EngineSideChannel& channel : manager.channels) {
       if (!channel.is_closed && !channel.is_probe) {
         return leak("channel " + std::to_string(channel.id) +
-                    " is open at the host, and unknown to the coordinator");
+                    " is open at the host but unknown to the query coordinator");
       }
     }
     RequestCounter counter;
     manager.dispatcher.coordinator().visit(counter);
-    if (counter.requests() > 0) return leak("the module still knows of a request");
+    if (counter.requests() > 0) return leak("the decision module still tracks a request");
     const std::uint32_t shutdown_timers = manager.is_shutting_down ? 1 : 0;
-    if (counts.own_timers > counts.channels_probing + shutdown_timers) return leak("a timer remains");
+    if (counts.own_timers > counts.channels_probing + shutdown_timers) return leak("a timer is still armed");
   }
   return std::nullopt;
 }
--- a/simulation/explorer/model_state.hpp
+++ b/simulation/explorer/model_state.hpp
@@ -1,9 +1,9 @@
-/// The composed system as one value: the managers that ship (dispatcher, query coordinator, module,
-/// invariants), the host that executes their actions, the clients, channels and engines around them, and a
-/// clock that moves only by a step. A state lists the moves that are possible in it; every move that is made
-/// is checked at once.
+/// The whole system as one value: managers that run the production core (event dispatcher, query coordinator,
+/// decision module, invariant checks), the host that executes their actions, the clients, channels and
+/// engines around them, and a clock that advances only with a step. A state lists its possible moves; each
+/// move that is made is checked immediately.
 ///
-/// Time advances in steps to just before, at and just after what is due next.
+/// Time advances to just before a timer is due, to the time it is due, or past that time.
 ///
 /// Not thread-safe; copies are independent of each other.
 #pragma once
@@ -29,30 +29,29 @@
  public:
   explicit ModelState(std::shared_ptr<const Scope> scope);
 
-  /// All moves that are possible now, in a fixed order.
+  /// All moves that are possible in this state, in a fixed order.
   [[nodiscard]] std::vector<Move> possible_moves();
   [[nodiscard]] bool is_possible(const Move& move);
-  /// The move of a system in which no further fault occurs and no engine answers any more; none where
-  /// everything has ended.
+  /// The next move if no further fault occurs and no engine answers; none if nothing is left to do.
   [[nodiscard]] std::optional<Move> fault_free_move();
 
-  /// Makes a move, which must be possible. Returns the invariants that it violated, if any; after a violation
-  /// the state is of no further use.
+  /// Makes a move, which must be possible. Returns the invariants that it violated, if any. The state must
+  /// not be used after a violation.
   std::vector<InvariantViolation> apply(const Move& move);
 
-  /// What is still held although fault_free_move() finds nothing to do.
+  /// A resource that is still held although fault_free_move() returns nothing.
   [[nodiscard]] std::optional<InvariantViolation> find_leak();
 
-  /// Equal for states that can only continue in the same way, whatever their engines are called.
+  /// Equal for states with the same possible continuations, up to a renaming of equal engines.
   [[nodiscard]] std::uint64_t digest();
   /// The goals that the last move reached.
   [[nodiscard]] const Coverage& coverage() const { return coverage_; }
   [[nodiscard]] TimePoint now() const { return now_; }
-  /// A line for a history, in words. To be called before the move is made.
+  /// Describes a move in one line, for a history. Must be called before the move is made.
   [[nodiscard]] std::string describe(const Move& move) const;
-  /// From here on trace() is filled.
+  /// Makes every later move fill trace().
   void enable_trace() { trace_enabled_ = true; }
-  /// What the managers did in the last move, in words.
+  /// Descriptions of the managers' actions in the last move.
   [[nodiscard]] const std::vector<std::string>& trace() const { return trace_; }
   [[nodiscard]] core::Counts counts(std::uint32_t manager) const {
     return managers_[manager].dispatcher.counts();
@@ -85,7 +84,7 @@
   [[nodiscard]] bool has_unused_channel(EngineId id) const;
   void add_time_moves(std::vector<Move>& moves) const;
   [[nodiscard]] std::optional<TimePoint> next_due() const;
-  [[nodiscard]] bool is_quiet() const;
+  [[nodiscard]] bool is_idle() const;
 
   // Making a move (model_apply.cpp).
   void apply_client_step(const Move& move);
@@ -93,7 +92,7 @@
   void resume_reading(std::uint32_t manager, std::uint32_t client);
   void apply_channel_step(const Move& move, EngineSideChannel& channel);
   void apply_answer_step(const Move& move, EngineSideChannel& channel);
-  void apply_crossing_step(const Move& move, EngineSideChannel& channel);
+  void apply_in_transit_step(const Move& move, EngineSideChannel& channel);
   void apply_engine_step(const Move& move);
   void apply_global_step(const Move& move);
   void lose_channel(std::uint32_t manager, EngineSideChannel& channel, core::ChannelLossReason reason);
--- a/simulation/explorer/random_walk.cpp
+++ b/simulation/explorer/random_walk.cpp
@@ -14,9 +14,9 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr auto progress_period = std::chrono::seconds(5);
-constexpr int max_ending_moves = 20 * max_fault_free_moves;  // of an episode
+constexpr int max_ending_moves = 20 * max_fault_free_moves;  // at the end of an episode
 
-/// How likely a step is among the possible ones: faults are rare, or no query would ever complete.
+/// Relative probability of a step among the possible ones. Faults are rare, or no query would ever complete.
 double weight_of(Step step) {
   switch (step) {
     case Step::submit_query: return 0.003;
@@ -61,7 +61,9 @@
   }
 
  private:
-  [[nodiscard]] bool is_unfinished() const { return report_.steps < settings_.steps && !report_.found; }
+  [[nodiscard]] bool is_unfinished() const {
+    return report_.steps < settings_.steps && !report_.counterexample;
+  }
 
   void run_episode() {
     ModelState model(scope_);
@@ -71,7 +73,7 @@
       ++report_.steps;
     }
     ++report_.episodes;
-    if (!report_.found) {
+    if (!report_.counterexample) {
       report_progress();
       end_episode(model, history);
     }
@@ -84,13 +86,13 @@
     ++report_.steps_by_kind[static_cast<std::size_t>(move.step)];
     if (move.step == Step::submit_query) ++report_.queries;
     add_coverage(report_.coverage, model.coverage());
-    if (!violations.empty()) report_.found = Found{history, std::move(violations)};
+    if (!violations.empty()) report_.counterexample = Counterexample{history, std::move(violations)};
   }
 
   Move choose(const std::vector<Move>& moves) {
     double total = 0;
     for (const Move& move : moves) total += weight_of(move.step);
-    // Not a distribution of the standard library: their results differ between implementations.
+    // Distributions of the standard library would give different walks with different implementations.
     double remaining = static_cast<double>(random_() >> 11U) * 0x1.0p-53 * total;
     for (std::size_t i = 0; i + 1 < moves.size(); ++i) {
       remaining -= weight_of(moves[i].step);
@@ -99,18 +101,19 @@
     return moves.back();
   }
 
-  // What is still held must end by time alone.
+  // Everything in progress must end without further faults or answers.
   void end_episode(ModelState& model, std::vector<Move>& history) {
-    for (int i = 0; !report_.found; ++i) {
+    for (int i = 0; !report_.counterexample; ++i) {
       const auto move = model.fault_free_move();
       if (!move) {
-        if (auto leak = model.find_leak()) report_.found = Found{history, {std::move(*leak)}};
+        if (auto leak = model.find_leak())
+          report_.counterexample = Counterexample{history, {std::move(*leak)}};
         return;
       }
       history.push_back(*move);
       auto violations = model.apply(*move);
       if (violations.empty() && i > max_ending_moves) violations.push_back(endless_violation());
-      if (!violations.empty()) report_.found = Found{history, std::move(violations)};
+      if (!violations.empty()) report_.counterexample = Counterexample{history, std::move(violations)};
     }
   }
 
--- a/simulation/explorer/random_walk.hpp
+++ b/simulation/explorer/random_walk.hpp
@@ -1,5 +1,5 @@
-/// Random walks: moves drawn from a seed, in episodes that each begin from the initial state and end without
-/// faults. For scopes that are too large to be searched exhaustively.
+/// Random walks for scopes that are too large for an exhaustive search. Moves are drawn from a seed, in
+/// episodes that each start in the initial state and end with fault-free moves only.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 namespace paddlestand::explorer {
 
 struct RandomWalkSettings {
-  std::size_t steps = 0;  ///< in all episodes together, without those that end an episode
+  std::size_t steps = 0;  ///< of all episodes, without the fault-free moves that end them
   std::size_t steps_per_episode = 0;
   std::uint64_t seed = 0;
 };
@@ -25,12 +25,13 @@
   double seconds = 0;
   CoverageCounts coverage{};
   StepCounts steps_by_kind{};
-  std::optional<Found> found;
+  std::optional<Counterexample> counterexample;
 };
 
 using RandomWalkProgress = std::function<void(const RandomWalkReport&)>;
 
-/// Ends at the first violation. The same settings give the same walk. `progress` may be empty.
+/// Stops at the first violation. The same settings give the same walk. `progress` is called every few seconds
+/// and may be empty.
 [[nodiscard]] RandomWalkReport random_walk(const Scope& scope, const RandomWalkSettings& settings,
                                            const RandomWalkProgress& progress);
 
--- a/simulation/explorer/replay.cpp
+++ b/simulation/explorer/replay.cpp
@@ -7,24 +7,24 @@
 namespace paddlestand::explorer {
 namespace {
 
-enum class Wording : std::uint8_t { none, full };
+enum class Tracing : std::uint8_t { off, on };
 
-Replay replay(const Scope& scope, const std::vector<Move>& moves, Wording wording) {
+Replay replay(const Scope& scope, const std::vector<Move>& moves, Tracing tracing) {
   ModelState model(std::make_shared<const Scope>(scope));
-  if (wording == Wording::full) model.enable_trace();
+  if (tracing == Tracing::on) model.enable_trace();
   Replay result;
   for (const Move& move : moves) {
     if (move.manager >= scope.managers || !model.is_possible(move)) continue;
-    if (wording == Wording::full) result.lines.push_back(model.describe(move));
+    if (tracing == Tracing::on) result.trace.push_back(model.describe(move));
     result.moves.push_back(move);
     result.violations = model.apply(move);
-    for (const std::string& line : model.trace()) result.lines.push_back("    -> " + line);
+    for (const std::string& line : model.trace()) result.trace.push_back("    -> " + line);
     if (!result.violations.empty()) break;
   }
   return result;
 }
 
-/// The moves that a replay of `moves` makes, if it violates `invariant`.
+/// The moves that a replay of `moves` made, if it violated `invariant`.
 std::optional<std::vector<Move>> moves_violating(const Scope& scope, const std::vector<Move>& moves,
                                                  Invariant invariant) {
   Replay result = invariant == Invariant::all_ends ? replay_to_end(scope, moves) : replay(scope, moves);
@@ -35,9 +35,9 @@
   return std::move(result.moves);
 }
 
-/// Leaves out pieces of `length` moves wherever the violation remains. Goes from the end, where most moves
-/// don't matter. Whether any was left out.
-bool remove_pieces(const Scope& scope, std::vector<Move>& moves, std::size_t length, Invariant invariant) {
+/// Removes each chunk of `length` moves without which the violation still occurs. Starts at the end, where
+/// moves are least likely to contribute. Returns whether any chunk was removed.
+bool remove_chunks(const Scope& scope, std::vector<Move>& moves, std::size_t length, Invariant invariant) {
   bool has_removed = false;
   for (std::size_t end = moves.size(); end > 0;) {
     const std::size_t begin = end > length ? end - length : 0;
@@ -56,11 +56,11 @@
 }  // namespace
 
 Replay replay(const Scope& scope, const std::vector<Move>& moves) {
-  return replay(scope, moves, Wording::none);
+  return replay(scope, moves, Tracing::off);
 }
 
-Replay replay_in_words(const Scope& scope, const std::vector<Move>& moves) {
-  return replay(scope, moves, Wording::full);
+Replay replay_with_trace(const Scope& scope, const std::vector<Move>& moves) {
+  return replay(scope, moves, Tracing::on);
 }
 
 Replay replay_to_end(const Scope& scope, const std::vector<Move>& moves) {
@@ -82,13 +82,13 @@
 }
 
 InvariantViolation endless_violation() {
-  return {Invariant::all_ends, "with no more faults it does not end"};
+  return {Invariant::all_ends, "the system does not settle without further faults"};
 }
 
 std::vector<Move> shrink(const Scope& scope, std::vector<Move> moves, Invariant invariant) {
   std::size_t length = std::max<std::size_t>(moves.size() / 2, 1);
   while (true) {
-    while (remove_pieces(scope, moves, length, invariant)) {}
+    while (remove_chunks(scope, moves, length, invariant)) {}
     if (length <= 1) return moves;
     length /= 2;
   }
--- a/simulation/explorer/scope.cpp
+++ b/simulation/explorer/scope.cpp
@@ -20,7 +20,7 @@
   return settings;
 }
 
-// Every timer lies on a grid of the module's ticks: histories that differ only in when things happened
+// Every duration is a multiple of the module's clock step: histories that differ only in the times of events
 // converge to the same states, and timers that are due together fire in one step.
 core::CoreSettings core_settings() {
   core::CoreSettings settings;
@@ -34,7 +34,7 @@
   settings.module.classes[3].ordered_by_key = true;
   settings.module.classes[4].allowed_zones = std::vector<std::uint32_t>{0};
   settings.module.kinds = {{4, 8192}};
-  settings.module.drain_grace = 30ms;  // shorter than a connect may take
+  settings.module.drain_grace = 30ms;  // shorter than the connect timeout
   settings.module.ordering_settle_time = 100ms;
   settings.module.slow_start_duration = 400ms;
   settings.module.overload_window = 300ms;
@@ -63,7 +63,7 @@
   return scope;
 }
 
-/// A class that is bound to a zone needs another zone beside it.
+/// A scope with a class that is bound to one zone needs a second zone.
 void assign_zones(Scope& scope) {
   for (const PlannedQuery& query : scope.queries)
     if (query.query_class == QueryClass::bound) scope.zones = 2;
@@ -71,14 +71,14 @@
 
 }  // namespace
 
-std::optional<Size> size_of(std::string_view name) {
+std::optional<ScopeSize> parse_size(std::string_view name) {
   constexpr std::array<std::string_view, 4> names{"tiny", "small", "medium", "large"};
   for (std::size_t i = 0; i < names.size(); ++i)
-    if (names[i] == name) return static_cast<Size>(i);
+    if (names[i] == name) return static_cast<ScopeSize>(i);
   return std::nullopt;
 }
 
-std::vector<Scope> scopes_of(Size size) {
+std::vector<Scope> scopes_of(ScopeSize size) {
   const PlannedQuery safe{0, QueryClass::safe, 0}, unsafe{0, QueryClass::unsafe, 0},
       turn{0, QueryClass::ordered_by_key, 7};
   const PlannedQuery keyed{0, QueryClass::keyed, 5}, bound{0, QueryClass::bound, 0};
@@ -88,23 +88,23 @@
   };
   std::vector<Scope> all;
   switch (size) {
-    case Size::tiny:
+    case ScopeSize::tiny:
       all.push_back(scope_of("one safe", {safe}, 2, 1));
       all.push_back(scope_of("two of a key, one engine", {turn, at(turn, 1)}, 1, 0));
       break;
-    case Size::small:
+    case ScopeSize::small:
       all.push_back(scope_of("two of a key", {turn, at(turn, 1)}, 2, 0));
       all.push_back(scope_of("two of a key, one engine, one fault", {turn, at(turn, 1)}, 1, 1));
       all.push_back(scope_of("safe and unsafe", {safe, at(unsafe, 1)}, 2, 0));
       all.push_back(scope_of("keyed, then safe", {keyed, safe}, 2, 0));
       break;
-    case Size::medium:
+    case ScopeSize::medium:
       all.push_back(scope_of("one unsafe, two faults", {unsafe}, 2, 2));
       all.push_back(scope_of("two of a key, one fault", {turn, at(turn, 1)}, 2, 1));
       all.push_back(scope_of("safe and unsafe, one fault", {safe, at(unsafe, 1)}, 2, 1));
       all.push_back(scope_of("safe, unsafe, in turn", {safe, at(unsafe, 1), at(turn, 0)}, 2, 0));
       break;
-    case Size::large:
+    case ScopeSize::large:
       all.push_back(scope_of("three of a key", {turn, at(turn, 1), at(turn, 1)}, 3, 1));
       all.push_back(scope_of("keyed, unsafe, bound", {keyed, at(unsafe, 1), at(bound, 0)}, 3, 2));
       break;
@@ -126,19 +126,20 @@
                          scope_of("defects: two clients", {safe, next}, 1, 1),
                          scope_of("defects: two faults", {unsafe}, 1, 2),
                          scope_of("defects: two engines", {turn, next_turn}, 2, 1)};
-  // Just over half of it a second attempt is decided on, and its channel may use up what remains.
+  // A second attempt is decided on after just over half of this window; opening its channel may use up the
+  // rest of it.
   for (ClassSettings& settings : all[3].core.module.classes)
     settings.idempotency_window = std::chrono::milliseconds(540);
   all[6].core.module.overload_window =
-      std::chrono::milliseconds(200);  // over before a full engine is asked again
+      std::chrono::milliseconds(200);  // ends before an overloaded engine is tried again
   all.push_back(scope_of("defects: a slow reader", {safe}, 1, 1));
   all.back().max_large_parts = 3;
   all.push_back(scope_of("defects: pipelined", {safe, turn, next_turn}, 1, 1));
   all.back().pipelined = true;
-  // A budget that one query can use up.
+  // A retry budget that one query can exhaust.
   all.push_back(scope_of("defects: no further attempt", {safe}, 2, 2));
   all.back().core.module.retry_budget = RetryBudgetSettings{0, 0, std::chrono::seconds(2)};
-  // One that warms up can run one query, not two.
+  // An engine in slow start has capacity for one query, but not for two.
   all.push_back(scope_of("defects: a cold engine", {safe, next}, 1, 1));
   all.back().core.module.slow_start_capacity_share = 0.0079;
   for (Scope& scope : all) assign_zones(scope);
--- a/simulation/explorer/search.cpp
+++ b/simulation/explorer/search.cpp
@@ -15,20 +15,20 @@
 using Index = std::uint32_t;
 
 constexpr Index no_node = ~Index{0};
-constexpr std::size_t batch_size = 1024;  // states that are expanded before their successors are merged
+constexpr std::size_t batch_size = 1024;  // states expanded before their successors are merged
 constexpr auto progress_period = std::chrono::seconds(5);
 
-/// A state that was visited, without the state itself.
+/// The search-tree node of a visited state, without the state itself.
 struct Node {
   Index parent = no_node;
-  Move move;  // that led to it from its parent
-  Index fault_free_successor = no_node;  // none where everything has ended, or where it was not expanded
+  Move move;  // from the parent
+  Index fault_free_successor = no_node;  // none if settled or not expanded
 };
 
 struct Transition {
   Move move;
   std::uint64_t digest = 0;
-  std::unique_ptr<ModelState> target;  // null where it was visited before
+  std::unique_ptr<ModelState> target;  // null if it was visited before
   std::vector<InvariantViolation> violations;
   Coverage coverage;
   bool is_fault_free = false;
@@ -42,10 +42,10 @@
 
 class Search {
  public:
-  Search(const Scope& scope, const Limits& limits, const Progress& progress)
+  Search(const Scope& scope, const SearchLimits& limits, const SearchProgress& progress)
       : scope_(std::make_shared<const Scope>(scope)), limits_(limits), progress_(progress) {}
 
-  Report run() {
+  SearchReport run() {
     auto initial = std::make_unique<ModelState>(scope_);
     visited_.emplace(initial->digest(), 0);
     nodes_.push_back({});
@@ -54,9 +54,9 @@
       ++report_.depth;
       expand_layer();
     }
-    report_.is_exhausted = frontier_.empty() && !report_.found;
+    report_.is_exhausted = frontier_.empty() && !report_.counterexample;
     report_.frontier = frontier_.size();
-    if (!report_.found) check_for_cycles();
+    if (!report_.counterexample) check_for_cycles();
     update_totals();
     return std::move(report_);
   }
@@ -65,7 +65,7 @@
   using FrontierEntry = std::pair<Index, std::unique_ptr<ModelState>>;
 
   bool may_continue() {
-    if (report_.found) return false;
+    if (report_.counterexample) return false;
     if (limits_.states > 0 && nodes_.size() >= limits_.states) report_.stopped = "states";
     if (limits_.time.count() > 0 && Clock::now() - start_ >= limits_.time) report_.stopped = "time";
     if (memory_in_use() >= limits_.memory_bytes) report_.stopped = "memory";
@@ -80,7 +80,7 @@
       for (std::size_t i = begin; i < end; ++i) {
         merge(frontier_[i].first, expansions[i - begin], next);
         frontier_[i].second.reset();
-        if (report_.found) return;
+        if (report_.counterexample) return;
       }
       report_progress();
     }
@@ -105,7 +105,7 @@
     return expansions;
   }
 
-  // Runs on several threads; reads `visited_`, which is written only between batches. `state` is used up.
+  // Runs on several threads. Reads `visited_`, which is written only between batches. Moves from `state`.
   Expansion expand(ModelState& state) const {
     Expansion expansion;
     const auto fault_free = state.fault_free_move();
@@ -117,7 +117,7 @@
     const std::vector<Move> moves = state.possible_moves();
     for (const Move& move : moves) {
       const bool is_last = &move == &moves.back();
-      // The state is moved from with its last move alone.
+      // The last move takes over the state itself; the others copy it.
       auto target = is_last
                         ? std::make_unique<ModelState>(std::move(state))  // NOLINT(bugprone-use-after-move)
                         : std::make_unique<ModelState>(state);
@@ -134,7 +134,7 @@
     transition.violations = target->apply(move);
     transition.coverage = target->coverage();
     transition.digest = target->digest();
-    // Another thread may reach the same state in this batch: merge() sees that.
+    // Another thread may reach the same state in the same batch; merge() detects that.
     const bool is_known = transition.violations.empty() && visited_.contains(transition.digest);
     if (!is_known) transition.target = std::move(target);
     return transition;
@@ -143,7 +143,7 @@
   void merge(Index parent, Expansion& expansion, std::vector<FrontierEntry>& next) {
     if (expansion.is_settled) ++report_.settled_states;
     if (expansion.leak) {
-      report_found(parent, std::nullopt, {*expansion.leak});
+      set_counterexample(parent, std::nullopt, {*expansion.leak});
       return;
     }
     for (Transition& transition : expansion.transitions) {
@@ -151,7 +151,7 @@
       ++report_.steps_by_kind[static_cast<std::size_t>(transition.move.step)];
       add_coverage(report_.coverage, transition.coverage);
       if (!transition.violations.empty()) {
-        report_found(parent, transition.move, std::move(transition.violations));
+        set_counterexample(parent, transition.move, std::move(transition.violations));
         return;
       }
       const auto [visited, is_new] = visited_.emplace(transition.digest, static_cast<Index>(nodes_.size()));
@@ -162,16 +162,17 @@
     }
   }
 
-  void report_found(Index node, std::optional<Move> last_move, std::vector<InvariantViolation> violations) {
-    Found found;
-    for (Index at = node; at != 0; at = nodes_[at].parent) found.history.push_back(nodes_[at].move);
-    std::reverse(found.history.begin(), found.history.end());
-    if (last_move) found.history.push_back(*last_move);
-    found.violations = std::move(violations);
-    report_.found = std::move(found);
+  void set_counterexample(Index node, std::optional<Move> last_move,
+                          std::vector<InvariantViolation> violations) {
+    Counterexample counterexample;
+    for (Index at = node; at != 0; at = nodes_[at].parent) counterexample.history.push_back(nodes_[at].move);
+    std::reverse(counterexample.history.begin(), counterexample.history.end());
+    if (last_move) counterexample.history.push_back(*last_move);
+    counterexample.violations = std::move(violations);
+    report_.counterexample = std::move(counterexample);
   }
 
-  // Every path of fault-free moves must end: none may lead back to a state it came through.
+  // Every path of fault-free moves must end; a cycle violates an invariant.
   void check_for_cycles() {
     enum : std::uint8_t { unseen, on_path, ends };
     std::vector<std::uint8_t> state(nodes_.size(), unseen);
@@ -185,8 +186,9 @@
         at = nodes_[at].fault_free_successor;
       }
       if (at != no_node && state[at] == on_path) {
-        report_found(at, std::nullopt,
-                     {{Invariant::all_ends, "time passes in a cycle of states, and nothing ends"}});
+        set_counterexample(
+            at, std::nullopt,
+            {{Invariant::all_ends, "fault-free moves form a cycle of states, and nothing ends"}});
         return;
       }
       for (const Index node : path) state[node] = ends;
@@ -210,14 +212,14 @@
   }
 
   std::shared_ptr<const Scope> scope_;
-  Limits limits_;
-  const Progress& progress_;
+  SearchLimits limits_;
+  const SearchProgress& progress_;
   Clock::time_point start_ = Clock::now();
   Clock::time_point last_progress_ = start_;
   std::vector<Node> nodes_;
-  std::unordered_map<std::uint64_t, Index> visited_;  // digests to nodes
+  std::unordered_map<std::uint64_t, Index> visited_;  // nodes by digest
   std::vector<FrontierEntry> frontier_;
-  Report report_;
+  SearchReport report_;
 };
 
 }  // namespace
@@ -230,8 +232,8 @@
   return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
 
-Report search(const Scope& scope, const Limits& limits, const Progress& progress) {
-  Limits checked = limits;
+SearchReport search(const Scope& scope, const SearchLimits& limits, const SearchProgress& progress) {
+  SearchLimits checked = limits;
   checked.threads = std::max(limits.threads, 1U);
   return Search(scope, checked, progress).run();
 }
--- a/simulation/explorer/search.hpp
+++ b/simulation/explorer/search.hpp
@@ -1,5 +1,5 @@
-/// Breadth-first search over a ModelState: every state that moves lead to, once. The first violation found is
-/// one with a shortest history. The result does not depend on the number of threads.
+/// Breadth-first search over the states of a ModelState; each reachable state is expanded once. The first
+/// violation that is found has a shortest history. The result does not depend on the number of threads.
 #pragma once
 
 #include <chrono>
@@ -13,37 +13,39 @@
 
 namespace paddlestand::explorer {
 
-struct Limits {
+struct SearchLimits {
   std::size_t states = 0;  ///< zero: no limit
-  std::size_t memory_bytes = std::size_t{4} << 30U;  ///< resident, of the process
+  std::size_t memory_bytes = std::size_t{4} << 30U;  ///< resident memory of the process
   std::chrono::seconds time{0};  ///< zero: no limit
   unsigned threads = 1;
 };
 
-struct Found {
+/// A history that violates invariants.
+struct Counterexample {
   std::vector<Move> history;
   std::vector<InvariantViolation> violations;
 };
 
-struct Report {
+struct SearchReport {
   std::size_t states = 0;
   std::size_t transitions = 0;
   std::size_t depth = 0;
-  std::size_t frontier = 0;  ///< states that are not expanded yet
+  std::size_t frontier = 0;  ///< number of states that are not expanded yet
   double seconds = 0;
-  std::size_t memory_bytes = 0;  ///< the peak of the process so far
+  std::size_t memory_bytes = 0;  ///< peak resident memory of the process
   bool is_exhausted = false;  ///< all reachable states were visited
-  std::string stopped;  ///< the limit that ended the search, where it is not exhausted
-  std::size_t settled_states = 0;  ///< those in which nothing is in flight
+  std::string stopped;  ///< the limit that stopped the search: states, time or memory
+  std::size_t settled_states = 0;  ///< states in which nothing is in flight
   CoverageCounts coverage{};  ///< of transitions
   StepCounts steps_by_kind{};
-  std::optional<Found> found;
+  std::optional<Counterexample> counterexample;
 };
 
-using Progress = std::function<void(const Report&)>;
+using SearchProgress = std::function<void(const SearchReport&)>;
 
-/// `progress` is called every few seconds; it may be empty.
-[[nodiscard]] Report search(const Scope& scope, const Limits& limits, const Progress& progress);
+/// `progress` is called every few seconds and may be empty.
+[[nodiscard]] SearchReport search(const Scope& scope, const SearchLimits& limits,
+                                  const SearchProgress& progress);
 
 /// Resident memory of the process, in bytes.
 [[nodiscard]] std::size_t memory_in_use();
--- a/simulation/explorer/seeded_main.cpp
+++ b/simulation/explorer/seeded_main.cpp
@@ -1,4 +1,4 @@
-/// `paddlestand-seeded`: the explorer over a core with seeded defects. Built for tests alone.
+/// `paddlestand-seeded`: the explorer over a core with seeded defects. Built only for tests.
 #include <CLI/CLI.hpp>
 
 #include "apps/commands.hpp"
--- a/simulation/explorer/step.cpp
+++ b/simulation/explorer/step.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 struct StepNames {
-  std::string_view word;  // in history files
+  std::string_view name;  // used in history files
   std::string_view identifier;
 };
 
@@ -51,11 +51,11 @@
 
 }  // namespace
 
-std::string_view name_of(Step step) { return step_names[static_cast<std::size_t>(step)].word; }
+std::string_view name_of(Step step) { return step_names[static_cast<std::size_t>(step)].name; }
 
-std::optional<Step> step_of(std::string_view word) {
+std::optional<Step> step_of(std::string_view name) {
   const auto found = std::find_if(step_names.begin(), step_names.end(),
-                                  [word](const StepNames& names) { return names.word == word; });
+                                  [name](const StepNames& names) { return names.name == name; });
   if (found == step_names.end()) return std::nullopt;
   return static_cast<Step>(found - step_names.begin());
 }
--- a/tests/explorer/explorer_test.cpp
+++ b/tests/explorer/explorer_test.cpp
@@ -1,5 +1,5 @@
-/// The search itself: it is deterministic, its histories can be read back and replayed, and states that it
-/// merges continue in the same way.
+/// The explorer: searches and walks are deterministic, histories can be parsed and replayed, and states that
+/// are merged continue in the same way.
 #include <gtest/gtest.h>
 
 #include "simulation/explorer/history.hpp"
@@ -10,41 +10,43 @@
 namespace paddlestand::explorer {
 namespace {
 
-Scope tiny(std::size_t which) { return scopes_of(Size::tiny).at(which); }
+Scope tiny_scope(std::size_t index) { return scopes_of(ScopeSize::tiny).at(index); }
 
 TEST(Explore, TheTinyScopeIsExhaustedWithoutViolation) {
-  for (const Scope& scope : scopes_of(Size::tiny)) {
-    const Report report = search(scope, {}, {});
+  for (const Scope& scope : scopes_of(ScopeSize::tiny)) {
+    const SearchReport report = search(scope, {}, {});
     EXPECT_TRUE(report.is_exhausted) << scope.name;
-    EXPECT_FALSE(report.found) << scope.name << ": " << report.found->violations.front().what;
+    EXPECT_FALSE(report.counterexample)
+        << scope.name << ": " << report.counterexample->violations.front().what;
     EXPECT_GT(report.settled_states, 100U) << scope.name;
   }
 }
 
 TEST(Explore, ResultIsIndependentOfThreadCount) {
-  Limits limits;
+  SearchLimits limits;
   limits.states = 8000;
-  const Report one = search(tiny(1), limits, {});
+  const SearchReport one = search(tiny_scope(1), limits, {});
   limits.threads = 3;
-  const Report three = search(tiny(1), limits, {});
+  const SearchReport three = search(tiny_scope(1), limits, {});
   EXPECT_EQ(one.states, three.states);
   EXPECT_EQ(one.transitions, three.transitions);
   EXPECT_EQ(one.coverage, three.coverage);
 }
 
 TEST(Explore, StopsAtStateLimitAndReportsIt) {
-  Limits limits;
+  SearchLimits limits;
   limits.states = 2000;
-  const Report report = search(tiny(0), limits, {});
+  const SearchReport report = search(tiny_scope(0), limits, {});
   EXPECT_FALSE(report.is_exhausted);
   EXPECT_EQ(report.stopped, "states");
   EXPECT_GT(report.frontier, 0U);
 }
 
-// Merging is sound only if a state's digest depends on nothing but what its future depends on: the order in
-// which two unrelated things happened must not be in it.
+// States with equal digests are merged. A digest that depended on the order of unrelated moves or on engine
+// names would keep equivalent states apart; one that ignored a relevant difference would merge distinct
+// states.
 TEST(Explore, DigestIgnoresOrderOfUnrelatedMovesAndEngineNames) {
-  const Scope scope = scopes_of(Size::small).at(2);  // safe and unsafe
+  const Scope scope = scopes_of(ScopeSize::small).at(2);  // safe and unsafe
   const auto shared = std::make_shared<const Scope>(scope);
   ModelState a(shared);
   ModelState b(shared);
@@ -62,7 +64,7 @@
 }
 
 TEST(Explore, CopyContinuesLikeTheOriginal) {
-  ModelState first(std::make_shared<const Scope>(tiny(0)));
+  ModelState first(std::make_shared<const Scope>(tiny_scope(0)));
   for (int i = 0; i < 400; ++i) {
     const std::vector<Move> moves = first.possible_moves();
     if (moves.empty()) break;
@@ -80,32 +82,32 @@
   const std::string text = text_of(history, {});
   EXPECT_NE(text.find("client 0 submits query 1, safe"), std::string::npos) << text;
   EXPECT_NE(text.find("query 1 is answered: served"), std::string::npos) << text;
-  const auto back = parse_history(text);
-  ASSERT_TRUE(std::holds_alternative<History>(back)) << std::get<HistoryError>(back).text();
-  EXPECT_EQ(std::get<History>(back).moves, history.moves);
-  EXPECT_EQ(replay(tiny(0), history.moves).moves, history.moves);
+  const auto parsed = parse_history(text);
+  ASSERT_TRUE(std::holds_alternative<History>(parsed)) << std::get<HistoryError>(parsed).text();
+  EXPECT_EQ(std::get<History>(parsed).moves, history.moves);
+  EXPECT_EQ(replay(tiny_scope(0), history.moves).moves, history.moves);
 }
 
 TEST(Explore, InvalidHistoryIsRejectedWithLineNumber) {
   const std::string head = "paddlestand history 1\nscope one safe\n";
-  for (const auto& [text, wanted] : std::vector<std::pair<std::string, std::string>>{
-           {"", "0: wanted: scope, and a name"},
-           {"something else\n", "1: wanted: paddlestand history 1"},
-           {"paddlestand history 1\nscope of nothing\n", "2: wanted: the name of a scope"},
-           {head + "fly 0 0\n", "3: wanted: a move, not 'fly'"},
-           {head + "ask 0\n", "3: wanted: a manager and a subject"},
-           {head + "ask 0 0 0\n", "3: wanted: the end of the line"}}) {
+  for (const auto& [text, expected] : std::vector<std::pair<std::string, std::string>>{
+           {"", "0: expected a line 'scope NAME'"},
+           {"something else\n", "1: expected paddlestand history 1"},
+           {"paddlestand history 1\nscope of nothing\n", "2: expected the name of a scope"},
+           {head + "fly 0 0\n", "3: expected a move, not 'fly'"},
+           {head + "ask 0\n", "3: expected a manager and a subject"},
+           {head + "ask 0 0 0\n", "3: expected the end of the line"}}) {
     const auto parsed = parse_history(text);
     ASSERT_TRUE(std::holds_alternative<HistoryError>(parsed)) << text;
-    EXPECT_EQ(std::get<HistoryError>(parsed).text(), wanted);
+    EXPECT_EQ(std::get<HistoryError>(parsed).text(), expected);
   }
 }
 
 TEST(Explore, ReplaySkipsOnlyImpossibleMoves) {
-  const Replay result = replay(tiny(0), {{Step::answer_complete, 0, 9},
-                                         {Step::submit_query, 7, 0},
-                                         {Step::submit_query, 0, 0},
-                                         {Step::submit_query, 0, 0}});
+  const Replay result = replay(tiny_scope(0), {{Step::answer_complete, 0, 9},
+                                               {Step::submit_query, 7, 0},
+                                               {Step::submit_query, 0, 0},
+                                               {Step::submit_query, 0, 0}});
   EXPECT_EQ(result.moves, (std::vector<Move>{{Step::submit_query, 0, 0}}));
 }
 
@@ -117,7 +119,7 @@
 
   EXPECT_EQ(first.steps_by_kind, second.steps_by_kind);
   EXPECT_EQ(first.coverage, second.coverage);
-  EXPECT_FALSE(first.found) << first.found->violations.front().what;
+  EXPECT_FALSE(first.counterexample) << first.counterexample->violations.front().what;
   EXPECT_GT(first.queries, 1000U);
 }
 
