--- a/simulation/scenario/child_process.hpp
+++ b/simulation/scenario/child_process.hpp
@@ -1,4 +1,4 @@
-/// A child process that ends with its object.
+/// A child process that is killed when its object is destroyed.
 #pragma once
 
 #include <boost/process.hpp>
@@ -10,17 +10,17 @@
 
 namespace paddlestand::simulation {
 
-/// Owns a child process, or none. Belongs to one thread.
+/// Owns at most one child process. Not thread-safe.
 class ChildProcess {
  public:
   ChildProcess() = default;
-  /// Standard input and output are /dev/null; errors go to `error_file`, or to /dev/null where it is empty.
-  /// Throws boost::process::process_error where the program can't be started.
+  /// Standard input and output are /dev/null; standard error goes to `error_file`. Throws
+  /// boost::process::process_error if the program cannot be started.
   ChildProcess(const std::string& program, const std::vector<std::string>& arguments,
                const std::string& error_file = "/dev/null")
       : child_(start(program, arguments, error_file)) {}
   ChildProcess(ChildProcess&&) = default;
-  /// Kills the process that this object owned so far.
+  /// Kills the process that this object owned before.
   ChildProcess& operator=(ChildProcess&& other) noexcept {
     kill();
     child_ = std::move(other.child_);
@@ -28,14 +28,14 @@
   }
   ~ChildProcess() { kill(); }
 
-  /// Kills it and waits for its end; does nothing where it has ended.
+  /// Kills the process and waits for its end. Has no effect if the process has ended.
   void kill() {
     std::error_code ignored;
     if (child_.valid() && child_.running(ignored)) child_.terminate(ignored);
     if (child_.valid()) child_.wait(ignored);
   }
 
-  /// Asks for a graceful shutdown, by SIGTERM.
+  /// Requests a graceful shutdown with SIGTERM.
   void request_shutdown() {
     if (child_.valid()) ::kill(child_.id(), SIGTERM);
   }
--- a/simulation/scenario/client.cpp
+++ b/simulation/scenario/client.cpp
@@ -24,17 +24,17 @@
 
 namespace {
 
-/// A client waits for so long beyond its timeout, to see whether and when an answer comes.
+/// How long a client waits after its timeout, to observe whether and when an answer arrives.
 constexpr auto observation_time = std::chrono::seconds(3);
 /// SQLSTATE codes of a manager's answers (docs/operators/answers.md).
 constexpr std::string_view sqlstate_rejected = "53400";
 constexpr std::string_view sqlstate_shutting_down = "57P01";
-constexpr std::string_view sqlstate_cancelled = "57014";  // by the client, or as its time was up
+constexpr std::string_view sqlstate_cancelled = "57014";  // by the client, or because the deadline passed
 constexpr std::string_view fatal_severity = "FATAL";
-/// Of the numeric tags of a statement.
+/// Size limit of a statement's numeric tags.
 constexpr std::size_t max_tags_bytes = 640;
 
-/// The clock of all logs of a day, in nanoseconds.
+/// The clock that all logs of a day share, in nanoseconds.
 std::int64_t shared_clock() { return steady_clock::now().time_since_epoch().count(); }
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-6; }
 
@@ -50,11 +50,11 @@
   if (fields.code == sqlstate_shutting_down)
     return is_retry_safe ? OutcomeKind::rejected : OutcomeKind::failed;
   if (fields.code == sqlstate_cancelled)
-    return fields.message.starts_with("canceling") ? OutcomeKind::cancelled : OutcomeKind::late;
+    return fields.message.starts_with("canceling") ? OutcomeKind::cancelled : OutcomeKind::timed_out;
   return OutcomeKind::failed;
 }
 
-/// Whether no client retries after such an outcome, whatever its answer advised.
+/// Whether no client retries after this outcome, regardless of the answer's retry advice.
 bool is_final(OutcomeKind kind) {
   return kind == OutcomeKind::served || kind == OutcomeKind::cancelled || kind == OutcomeKind::disconnected ||
          kind == OutcomeKind::unanswered;
@@ -77,21 +77,21 @@
   return names[static_cast<std::size_t>(kind)];
 }
 
-/// What was received for one query.
+/// The answer received for one query.
 struct Clients::Answer {
   Outcome outcome;
   std::uint64_t rows = 0;
-  bool is_complete = false;  // up to ReadyForQuery
-  bool is_fatal = false;  // an error that ends the session: no ReadyForQuery follows
+  bool is_complete = false;  // ReadyForQuery was received
+  bool is_fatal = false;  // an error ended the session, so that no ReadyForQuery follows
 
   void add_frame(char type, std::string_view body);
   void add_error(std::string_view body);
 };
 
-/// What the client's own timer did to its connection.
+/// How the client's timer ended the connection, if it did.
 struct Clients::Interruption {
   bool has_disconnected = false;
-  bool has_given_up = false;
+  bool has_timed_out = false;
 };
 
 void Clients::Answer::add_frame(char type, std::string_view body) {
@@ -147,7 +147,7 @@
   }
 }
 
-// A request that may have been executed is sent again only where it is idempotent.
+// A request that may have been executed is retried only if it is idempotent.
 bool Clients::may_retry(const Arrival& arrival, const Outcome& outcome, Duration elapsed) const {
   if (is_final(outcome.kind)) return false;
   const DayClass& day_class = day_.classes[arrival.class_index];
@@ -160,7 +160,7 @@
 
 asio::awaitable<Clients::Outcome> Clients::attempt(const Arrival& arrival, std::uint32_t number) {
   const auto connection = co_await acquire_connection(arrival.manager);
-  if (!connection) co_return Outcome{OutcomeKind::unreached, true, {}};
+  if (!connection) co_return Outcome{OutcomeKind::connect_failed, true, {}};
   const std::string id = std::to_string(arrival.request) + "." + std::to_string(number);
   std::string bytes;
   pg::put_query(bytes, statement_of(arrival, id));
@@ -186,7 +186,7 @@
   if (interruption.has_disconnected) {
     outcome.kind = OutcomeKind::disconnected;
   } else if (!answer.is_complete && !answer.is_fatal) {
-    outcome.kind = interruption.has_given_up ? OutcomeKind::unanswered : OutcomeKind::lost;
+    outcome.kind = interruption.has_timed_out ? OutcomeKind::unanswered : OutcomeKind::lost;
   }
   return outcome;
 }
@@ -213,7 +213,7 @@
   co_return answer;
 }
 
-// Nothing may follow an answer but the end of the session.
+// Only the end of the session may follow an answer.
 void Clients::on_frame_after_answer(const std::string& id, Connection& connection, char type,
                                     std::string_view body) {
   const auto fields = type == 'E' ? pg::parse_fields(body) : std::nullopt;
@@ -224,7 +224,8 @@
   write_log({{"t", shared_clock()}, {"what", std::string(log_event::surplus_message)}, {"id", id}});
 }
 
-// The handlers hold the connection and the interruption: they may run after the attempt has ended.
+// The handlers share ownership of the connection and the interruption, as they may run after the attempt has
+// ended.
 void Clients::schedule_interruption(const Arrival& arrival, const ConnectionPtr& connection,
                                     asio::steady_timer& timer,
                                     const std::shared_ptr<Interruption>& interruption) {
@@ -244,7 +245,7 @@
   timer.expires_after(arrival.client_timeout + observation_time);
   timer.async_wait([connection, interruption](const error_code& stopped) {
     if (stopped) return;
-    interruption->has_given_up = true;
+    interruption->has_timed_out = true;
     connection->close();
   });
 }
--- a/simulation/scenario/client.hpp
+++ b/simulation/scenario/client.hpp
@@ -1,5 +1,5 @@
-/// The clients of a day: they send requests, wait, cancel, disconnect and retry, and log only what they
-/// sent and received.
+/// The clients of a day. They send requests, wait, cancel, disconnect and retry; they log only what they sent
+/// and received.
 #pragma once
 
 #include <array>
@@ -20,48 +20,48 @@
 
 namespace paddlestand::simulation {
 
-/// How an attempt ended, as its client saw it.
+/// How an attempt ended, as observed by its client.
 enum class OutcomeKind : std::uint8_t {
   none,  ///< a complete answer without CommandComplete or an error
   served,
   rejected,
   failed,
-  late,  ///< the manager said that its time was up
+  timed_out,  ///< the manager answered that the deadline had passed
   cancelled,
   disconnected,  ///< by the client
   lost,  ///< the connection ended without an answer
-  unanswered,  ///< within the client's timeout and some time beyond it
-  unreached,  ///< no connection could be opened: nothing was sent
+  unanswered,  ///< no answer within the client timeout and the observation time after it
+  connect_failed,  ///< no connection could be opened, so nothing was sent
   count
 };
 /// The outcome's name in the log.
 [[nodiscard]] std::string_view name_of(OutcomeKind kind);
 
-/// What became of the attempts of one class.
+/// The outcomes of the attempts of one class.
 struct ClassResults {
   std::uint64_t attempts = 0;
   std::array<std::uint64_t, static_cast<std::size_t>(OutcomeKind::count)> by_outcome{};
-  std::vector<double> served_ms;  ///< response times of the served attempts, in order of their ends
+  std::vector<double> served_ms;  ///< response times of served attempts, in order of completion
 
   [[nodiscard]] std::uint64_t count(OutcomeKind kind) const {
     return by_outcome[static_cast<std::size_t>(kind)];
   }
 };
 
-/// All clients of a day, with their pools of connections. Belongs to the event loop's thread.
+/// All clients of a day and their connection pools. Used only on the event loop's thread.
 class Clients {
  public:
   using tcp = boost::asio::ip::tcp;
 
-  /// `ports`: of the managers, on loopback. `io`, `day` and `log` must outlive this object.
+  /// `ports`: the managers' ports on loopback. `io`, `day` and `log` must outlive this object.
   Clients(boost::asio::io_context& io, const Day& day, std::vector<std::uint16_t> ports, std::FILE* log);
 
-  /// Sends a request now, and retries it by itself. Returns at once.
+  /// Starts a request, including its retries, and returns immediately.
   void start_request(const Arrival& arrival);
 
-  /// Requests that have not ended yet.
+  /// Number of requests that have not ended.
   [[nodiscard]] std::size_t open_requests() const { return open_requests_; }
-  /// By class.
+  /// Results by class.
   [[nodiscard]] const std::vector<ClassResults>& results() const { return results_; }
 
  private:
@@ -69,15 +69,15 @@
   using awaitable = boost::asio::awaitable<T>;
   struct Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
-  /// How an attempt ended, and what its answer advised.
+  /// How an attempt ended, and the retry advice in its answer.
   struct Outcome {
     OutcomeKind kind = OutcomeKind::none;
     bool is_retry_safe = false;
     std::optional<Duration> retry_after;
   };
-  /// What was received for one query.
+  /// The answer received for one query.
   struct Answer;
-  /// What the client's own timer did to its connection.
+  /// How the client's timer ended the connection, if it did.
   struct Interruption;
 
   awaitable<> run_request(Arrival arrival);
@@ -107,11 +107,11 @@
   const Day& day_;
   std::vector<std::uint16_t> ports_;
   std::FILE* log_;
-  std::uint32_t max_connections_;  // to one manager
+  std::uint32_t max_connections_;  // per manager
   std::vector<std::vector<ConnectionPtr>> idle_connections_;  // by manager
-  std::vector<std::uint32_t> connections_;  // by manager: how many
+  std::vector<std::uint32_t> connections_;  // number of open ones, by manager
   std::vector<std::unique_ptr<boost::asio::steady_timer>>
-      connection_free_;  // by manager: cancelled to wake waiters
+      connection_free_;  // by manager; cancelled to wake waiting requests
   std::size_t open_requests_ = 0;
   std::vector<ClassResults> results_;
 };
--- a/simulation/scenario/client_connection.cpp
+++ b/simulation/scenario/client_connection.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t cancel_key_bytes = 8;  // of BackendKeyData: process and secret
+constexpr std::size_t cancel_key_bytes = 8;  // process and secret in BackendKeyData
 
 std::uint32_t big_endian(const unsigned char* bytes) {
   return static_cast<std::uint32_t>(bytes[0]) << 24U | static_cast<std::uint32_t>(bytes[1]) << 16U |
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-/// An idle connection, or a new one, or one that another request releases. Null where none can be opened.
+/// Returns an idle connection, a new one, or one that another request releases. Null if none can be opened.
 asio::awaitable<Clients::ConnectionPtr> Clients::acquire_connection(std::uint32_t manager) {
   for (;;) {
     if (auto idle = pop_idle_connection(manager)) co_return idle;
@@ -50,8 +50,7 @@
   co_return nullptr;
 }
 
-// A connection that has ended while it was idle, or on which the end of its session was announced, is not
-// used.
+// A connection that was closed while idle, or on which the end of the session was announced, is discarded.
 Clients::ConnectionPtr Clients::pop_idle_connection(std::uint32_t manager) {
   auto& idle = idle_connections_[manager];
   while (!idle.empty()) {
@@ -68,7 +67,7 @@
   return nullptr;
 }
 
-/// Whether a session was opened.
+/// Opens a session. Returns whether that succeeded.
 asio::awaitable<bool> Clients::open(Connection& connection) {
   error_code error;
   co_await connection.socket.async_connect({asio::ip::address_v4::loopback(), ports_[connection.manager]},
@@ -102,7 +101,7 @@
   connection_free_[connection->manager]->cancel();
 }
 
-/// Sends a CancelRequest on a connection of its own, and waits for the manager to close it.
+/// Sends a CancelRequest on a separate connection and waits until the manager closes it.
 asio::awaitable<void> Clients::send_cancel(std::uint32_t manager, std::uint32_t process,
                                            std::uint32_t secret) {
   tcp::socket socket(io_);
--- a/simulation/scenario/client_connection.hpp
+++ b/simulation/scenario/client_connection.hpp
@@ -1,4 +1,4 @@
-/// A connection of a day's client to a manager. For client.cpp and client_connection.cpp alone.
+/// A client's connection to a manager. Included only by client.cpp and client_connection.cpp.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 
 namespace paddlestand::simulation {
 
-/// A socket, the frames that were received on it, and the session's cancel key.
+/// A socket, the reader of its frames, and the session's cancel key.
 struct Clients::Connection {
   static constexpr std::size_t max_message_bytes = 64U << 20U;
   static constexpr std::size_t read_buffer_bytes = std::size_t{16} * 1024;
--- a/simulation/scenario/day_files.cpp
+++ b/simulation/scenario/day_files.cpp
@@ -124,7 +124,7 @@
   const std::string replacement = path + ".new";
   std::ofstream(replacement) << text;
   if (std::rename(replacement.c_str(), path.c_str()) != 0)
-    throw std::runtime_error(path + ": can't be written");
+    throw std::runtime_error(path + ": cannot be written");
 }
 
 }  // namespace paddlestand::simulation
--- a/simulation/scenario/fault_schedule.cpp
+++ b/simulation/scenario/fault_schedule.cpp
@@ -33,8 +33,8 @@
 constexpr auto poll_period = 10ms;
 constexpr std::size_t max_command_answer_bytes = 256;
 
-/// The command of a test engine that causes a fault, by the fault's kind. Absent where no command does.
-/// Where the command has a number, it is the fault's amount.
+/// The control command of a test engine that causes this kind of fault; none if no command does. A command's
+/// argument is the fault's amount.
 std::optional<std::string> command_for(const DayFault& fault) {
   struct CommandOfKind {
     std::string_view command;
@@ -71,8 +71,8 @@
   });
 }
 
-/// The faults burst, tenant_burst, heavy_tail, shift, hot_key and give_up are in the arrivals, and nothing
-/// here.
+/// Has no effect for burst, tenant_burst, heavy_tail, shift, hot_key and give_up, which only change the
+/// arrivals.
 FaultSchedule::awaitable<> FaultSchedule::inject(DayFault fault) {
   co_await sleep(fault.at);
   system_.log_event({{"what", std::string(log_event::fault_injected)}, {"kind", fault.kind}});
@@ -99,8 +99,8 @@
 }
 
 FaultSchedule::awaitable<> FaultSchedule::inject_by_command(DayFault fault, std::string command) {
-  const bool concerns_all = fault.kind == "shared_slow";
-  const std::vector<std::uint32_t> engines = next_engines(concerns_all ? day_.engines : fault.count);
+  const bool affects_all_engines = fault.kind == "shared_slow";
+  const std::vector<std::uint32_t> engines = next_engines(affects_all_engines ? day_.engines : fault.count);
   co_await send_command_to_all(engines, std::move(command));
   co_await sleep(fault.length);
   co_await send_command_to_all(engines, "normal");
@@ -151,7 +151,7 @@
   if (text != "ok\n") problems_.push_back(engine_name(engine) + ": " + std::string(text));
 }
 
-/// Engines in turn, so that faults that overlap concern different ones first.
+/// Selects engines round-robin, so that overlapping faults affect different engines if possible.
 std::vector<std::uint32_t> FaultSchedule::next_engines(std::uint32_t count) {
   std::vector<std::uint32_t> engines;
   for (std::uint32_t i = 0; i < std::min(count, day_.engines); ++i) {
@@ -165,24 +165,24 @@
   system_.kill_engine(engine);
   const Duration detection_time = std::min(day_.list_delay, downtime);
   co_await sleep(detection_time);
-  system_.list_as(engine, ListedState::removed);
+  system_.publish_state(engine, ListedState::removed);
   co_await sleep(downtime - detection_time);
-  system_.set_unpublished_state(engine, ListedState::removed);  // until discovery has noticed its start
+  system_.set_unpublished_state(engine, ListedState::removed);  // until discovery detects its start
   system_.restart_engine(engine);
   co_await sleep(day_.list_delay);
-  system_.list_as(engine, ListedState::ready);
+  system_.publish_state(engine, ListedState::ready);
 }
 
 FaultSchedule::awaitable<> FaultSchedule::drain_engine(std::uint32_t engine, Duration length,
                                                        AfterDrain after) {
-  system_.list_as(engine, ListedState::draining);
+  system_.publish_state(engine, ListedState::draining);
   if (after == AfterDrain::restart) {
     co_await sleep(std::max(day_.drain_grace * drain_graces_before_restart, min_drain_before_restart));
     co_await crash_engine(engine, length);
     co_return;
   }
   co_await sleep(length);
-  system_.list_as(engine, ListedState::ready);
+  system_.publish_state(engine, ListedState::ready);
 }
 
 FaultSchedule::awaitable<> FaultSchedule::restart_manager(std::uint32_t manager, Duration downtime,
@@ -193,7 +193,7 @@
     system_.log_event(
         {{"what", std::string(log_event::manager_shut_down)}, {"manager", manager_name(manager)}});
   } else {
-    // The trace checker excuses unanswered requests only of a manager that was killed.
+    // The trace checker accepts unanswered requests only from a manager that was killed.
     system_.log_event({{"what", std::string(log_event::manager_killed)}, {"manager", manager_name(manager)}});
     system_.kill_manager(manager);
   }
@@ -201,7 +201,7 @@
   system_.start_manager(manager);
 }
 
-/// Asks for a graceful shutdown, and kills the manager where it has not ended within the timeout.
+/// Requests a graceful shutdown and kills the manager if it does not end within the timeout.
 FaultSchedule::awaitable<> FaultSchedule::shut_down_manager(std::uint32_t manager) {
   system_.request_manager_shutdown(manager);
   for (auto waited = 0ms; waited < manager_shutdown_timeout && system_.is_manager_running(manager);
--- a/simulation/scenario/fault_schedule.hpp
+++ b/simulation/scenario/fault_schedule.hpp
@@ -1,4 +1,4 @@
-/// Injects the faults of a day at their times.
+/// Injects the faults of a day at their scheduled times.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -11,15 +11,15 @@
 
 namespace paddlestand::simulation {
 
-/// Faults overlap where their times do. Belongs to the event loop's thread. Exceptions of its coroutines
-/// leave io_context::run().
+/// Faults may overlap. Used only on the event loop's thread. Exceptions of the coroutines propagate out of
+/// io_context::run().
 class FaultSchedule {
  public:
-  /// Refers to all of its arguments.
+  /// Keeps references to all arguments.
   FaultSchedule(boost::asio::io_context& io, const Day& day, SystemUnderTest& system,
                 std::vector<std::string>& problems);
 
-  /// Schedules all faults, from now on.
+  /// Schedules all faults. Their times count from this call.
   void start();
 
  private:
--- a/simulation/scenario/results_table.cpp
+++ b/simulation/scenario/results_table.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t max_line_bytes = 200;
 
-/// `sorted`: in ascending order. Zero where it is empty.
+/// `sorted`: in ascending order. Zero if it is empty.
 double quantile(const std::vector<double>& sorted, double share) {
   if (sorted.empty()) return 0;
   return sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
@@ -24,7 +24,7 @@
   std::snprintf(line.data(), line.size(), "%-16s %8lu %8lu %8lu %8lu %8lu %9lu %6lu %6lu %9.1f %9.1f\n",
                 class_name.c_str(), results.attempts, results.count(OutcomeKind::served),
                 results.count(OutcomeKind::rejected), results.count(OutcomeKind::failed),
-                results.count(OutcomeKind::late), results.count(OutcomeKind::cancelled), lost,
+                results.count(OutcomeKind::timed_out), results.count(OutcomeKind::cancelled), lost,
                 results.count(OutcomeKind::disconnected), quantile(served_ms, 0.5),
                 quantile(served_ms, 0.99));
   return line.data();
--- a/simulation/scenario/results_table.hpp
+++ b/simulation/scenario/results_table.hpp
@@ -1,4 +1,4 @@
-/// The outcomes of a day as a text table, for the console.
+/// The outcomes of a day as a text table.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace paddlestand::simulation {
 
-/// A line for each class: attempts by outcome, and quantiles of the response time of those that were served.
+/// One line per class: attempts by outcome, and quantiles of the response times of served attempts.
 [[nodiscard]] std::string results_table(const Day& day, const std::vector<ClassResults>& results);
 
 }  // namespace paddlestand::simulation
--- a/simulation/scenario/runner.cpp
+++ b/simulation/scenario/runner.cpp
@@ -23,11 +23,11 @@
 
 namespace {
 
-constexpr auto max_overtime = 40s;  // for requests that are open at the day's end
+constexpr auto max_overtime = 40s;  // for requests that are still open at the end of the day
 constexpr auto open_requests_poll = 20ms;
-constexpr auto list_read_time = 300ms;  // within which all managers have read the list
+constexpr auto list_read_time = 300ms;  // for all managers to read the engine list
 
-/// Runs one day. Used once, on one thread; `plan` and `progress` must outlive it.
+/// Runs one day. For a single call of run(); `plan` and `progress` must outlive it.
 class Runner {
  public:
   Runner(const DayPlan& plan, const std::function<void(const std::string&)>& progress)
--- a/simulation/scenario/scenario.cpp
+++ b/simulation/scenario/scenario.cpp
@@ -17,18 +17,18 @@
 
 constexpr std::uint32_t max_engines = 200;
 constexpr std::uint32_t max_managers = 50;
-constexpr double min_requests_per_s = 1e-6;  // keeps the gaps of a class without requests finite
+constexpr double min_requests_per_s = 1e-6;  // keeps arrival gaps finite for a class without requests
 constexpr double min_rate_factor = 1e-6;
-constexpr std::uint64_t seed_stride = 1000003;  // between the seeds of two days; more than there are classes
-constexpr double heavy_probability = 0.1;  // of a request to be one that a fault "heavy_tail" makes costlier
-constexpr std::uint32_t hot_key = 1;  // which all requests have during a fault "hot_key"
-constexpr std::uint32_t max_table_set = 12;  // sets of tables that requests read, numbered from 1
+constexpr std::uint64_t seed_stride = 1000003;  // between two days' seeds; exceeds the number of classes
+constexpr double heavy_tail_probability = 0.1;  // that the fault "heavy_tail" affects a request
+constexpr std::uint32_t hot_key = 1;  // key of all requests during the fault "hot_key"
+constexpr std::uint32_t max_table_set = 12;  // table sets are numbered from 1
 constexpr int early_timeout_divisor = 4;  // of the deadline, for a client that gives up early
-constexpr double max_interruption_delay_s = 0.5;  // of a cancel or a disconnect, after the query was sent
+constexpr double max_interruption_delay_s = 0.5;  // from sending a query to its cancel or disconnect
 
 double seconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-9; }
 
-// ---- Reading: the attributes' names are those of schema/day.xsd ----
+// ---- Reading a day's file (schema/day.xsd) ----
 
 Idempotency idempotency_of(std::string_view repeat) {
   if (repeat == "safe") return Idempotency::idempotent;
@@ -114,17 +114,16 @@
                      [&name](const DayClass& day_class) { return day_class.name == name; });
 }
 
-/// Reads the faults of a day whose classes have been read. The first one that does not fit the day is an
-/// error.
+/// Reads the faults of a day whose classes have been read. Returns an error for the first fault with an
+/// unknown class or a time after the day's end.
 std::optional<config::Fault> read_faults(const config::Element& root, const std::string& path, Day& day) {
   for (const auto& element : root.children("trouble")) {
     const DayFault& fault = day.faults.emplace_back(read_fault(element));
     if (!fault.class_name.empty() && !has_class(day, fault.class_name)) {
-      return config::Fault{path, element.line(),
-                           "a trouble names the unknown class '" + fault.class_name + "'"};
+      return config::Fault{path, element.line(), "trouble: unknown class '" + fault.class_name + "'"};
     }
     if (fault.at >= day.length)
-      return config::Fault{path, element.line(), "a trouble begins after the day's end"};
+      return config::Fault{path, element.line(), "trouble: begins after the end of the day"};
   }
   return std::nullopt;
 }
@@ -135,12 +134,13 @@
   return at_s >= seconds(fault.at) && at_s < seconds(fault.at + fault.length);
 }
 
-bool concerns(const DayFault& fault, const DayClass& day_class) {
+bool affects(const DayFault& fault, const DayClass& day_class) {
   return fault.class_name.empty() || fault.class_name == day_class.name;
 }
 
-/// The arrivals of one class. Each class has a random sequence of its own, so that a change in one does not
-/// shift the others. The order of the draws is part of the result: days must stay the same.
+/// Generates the arrivals of one class. Each class has its own random sequence, so that changing one class
+/// does not change the arrivals of the others. The order of the draws must not change, so that a day and seed
+/// keep giving the same arrivals.
 class ClassArrivals {
  public:
   ClassArrivals(const Day& day, std::uint32_t class_index)
@@ -168,7 +168,7 @@
     double total = 0;
   };
 
-  /// Calls `visit` with each fault of one of these kinds that is active then, in the order of the day's file.
+  /// Calls `visit` with each fault of these kinds that is active at `at_s`, in the order of the day's file.
   template <typename Visit>
   void for_each_active(std::initializer_list<std::string_view> kinds, double at_s, Visit visit) const {
     for (const DayFault& fault : day_.faults) {
@@ -180,12 +180,12 @@
   [[nodiscard]] double load_factor(double at_s) const {
     double factor = 1;
     for_each_active({"burst", "shift"}, at_s, [&](const DayFault& fault) {
-      if (concerns(fault, class_)) factor *= fault.amount;
+      if (affects(fault, class_)) factor *= fault.amount;
     });
     return factor;
   }
 
-  // A tenant's burst adds to its own requests alone.
+  // A tenant's burst only adds requests of that tenant.
   [[nodiscard]] TenantShares tenant_shares(double at_s) const {
     TenantShares result;
     for (const DayTenant& tenant : day_.tenants) {
@@ -230,11 +230,11 @@
   void draw_work(Arrival& arrival, double at_s) {
     const double sigma = class_.work_spread;
     arrival.work_s = class_.mean_work_s * std::exp(sigma * normal_(random_) - sigma * sigma / 2);
-    const bool is_heavy = uniform_(random_) < heavy_probability;
+    const bool is_heavy = uniform_(random_) < heavy_tail_probability;
     arrival.estimated_s = arrival.work_s * std::exp(class_.estimate_spread * normal_(random_));
     if (!is_heavy) return;
     for_each_active({"heavy_tail"}, at_s, [&](const DayFault& fault) {
-      if (!concerns(fault, class_)) return;
+      if (!affects(fault, class_)) return;
       arrival.work_s *= fault.amount;
       arrival.estimated_s *= fault.amount;
     });
@@ -297,7 +297,7 @@
   read_clients(*root.child("clients"), day);
   if (auto fault = read_faults(root, path, day)) return *std::move(fault);
   if (day.engines == 0 || day.engines > max_engines || day.managers == 0 || day.managers > max_managers)
-    return config::Fault{path, engines.line(), "wanted: 1 to 200 engines and 1 to 50 managers"};
+    return config::Fault{path, engines.line(), "expected 1 to 200 engines and 1 to 50 managers"};
   return day;
 }
 
--- a/simulation/scenario/scenario.hpp
+++ b/simulation/scenario/scenario.hpp
@@ -1,4 +1,4 @@
-/// A day as its file describes it (schema/day.xsd), and the traffic that follows from it and its seed.
+/// A day as described by its file (schema/day.xsd), and the requests that it and its seed generate.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace paddlestand::simulation {
 
-/// A class of requests: how often they arrive, what they cost, what their clients expect.
+/// A class of requests: rate, cost, and the service that clients expect.
 struct DayClass {
   std::string name;
   double requests_per_s = 0;
@@ -29,7 +29,7 @@
   double priority_weight = 1;
   double late_answer_weight = 0;
   Idempotency idempotency{};
-  std::uint32_t keys = 0;  ///< how many different ones; zero: requests have none
+  std::uint32_t keys = 0;  ///< number of distinct keys; zero: requests have none
   std::uint32_t rows = 1;
   std::uint32_t row_bytes = 16;
   bool ordered_by_key = false;
@@ -37,30 +37,30 @@
   std::vector<std::string> zones;  ///< empty: any
 };
 
-/// A tenant, with its quota at the managers.
+/// A tenant and its quota at the managers.
 struct DayTenant {
   std::string name;
   double quota_per_s = 0;
-  double share = 0;  ///< of all requests, in proportion to the other tenants'
+  double share = 0;  ///< weight in the distribution of requests over tenants
 };
 
-/// Something that goes wrong during the day, or an unusual load.
+/// A fault or an unusual load during the day; the day's file calls it trouble.
 struct DayFault {
-  std::string kind;  ///< a value of the schema's trouble kind
+  std::string kind;  ///< one of the trouble kinds of the schema
   Duration at{};  ///< from the day's start
   Duration length{};
   std::uint32_t count = 1;  ///< of engines or managers
-  double amount = 1;  ///< by kind: a factor, a share, milliseconds
+  double amount = 1;  ///< depending on the kind: a factor, a share, or milliseconds
   std::string class_name;  ///< empty: all
   std::string tenant;
 };
 
-/// A day: engines, managers, clients, and the faults that are injected. Times are durations from its start.
+/// A day: engines, managers, clients, and the faults to inject. Times are relative to the day's start.
 struct Day {
   std::string name;
   Duration length{};
-  Duration answer_slack{};  ///< that answers may be late
-  Duration max_observation_skew{};  ///< between what two processes see of one connection
+  Duration answer_slack{};  ///< by which answers may exceed the deadline
+  Duration max_observation_skew{};  ///< between two processes' observations of one connection
   std::uint64_t seed = 1;
 
   // Engines.
@@ -81,7 +81,7 @@
   Duration drain_grace{};
   Duration ordering_settle_time{};
   Duration list_poll{};
-  Duration list_delay{};  ///< until discovery notices that an engine has ended or started
+  Duration list_delay{};  ///< until discovery detects that an engine has ended or started
   Duration progress_report_period{};
   RetryBudgetSettings budget;
 
@@ -90,9 +90,9 @@
 
   // Clients.
   std::uint32_t sessions = 0;  ///< of all clients together
-  std::uint32_t retries = 0;  ///< that a client makes of one request
+  std::uint32_t retries = 0;  ///< limit per request
   Duration retry_backoff{};
-  double retry_after_compliance = 0;  ///< share of clients that respect Retry-After
+  double retry_after_compliance = 0;  ///< share of requests whose client respects Retry-After
   double cancel_probability = 0;
   double disconnect_probability = 0;
   double early_timeout_probability = 0;
@@ -104,27 +104,27 @@
   }
 };
 
-/// Reads and checks a day's file; the first fault found in it otherwise.
+/// Reads and validates a day's file. Returns the first error if it is invalid.
 [[nodiscard]] std::variant<Day, config::Fault> read_day(const std::string& path);
 
-/// One request of a client, before its first attempt.
+/// A request that a client will send.
 struct Arrival {
   Duration at{};  ///< from the day's start
-  std::uint32_t request = 0;  ///< number, from 1
+  std::uint32_t request = 0;  ///< number, starting at 1
   std::uint32_t class_index = 0;
   std::uint32_t manager = 0;
   std::uint32_t key = 0;  ///< zero: none
   std::uint32_t tables = 0;
   std::optional<std::uint32_t> tenant;
   double work_s = 0;
-  double estimated_s = 0;  ///< as its client estimates the work
+  double estimated_s = 0;  ///< the client's estimate of the work
   Duration client_timeout{};
-  std::optional<Duration> cancel_after;  ///< it was sent
-  std::optional<Duration> disconnect_after;  ///< it was sent
+  std::optional<Duration> cancel_after;  ///< from sending the query
+  std::optional<Duration> disconnect_after;  ///< from sending the query
   bool respects_retry_after = false;
 };
 
-/// In order of time. The same day and seed give the same arrivals on every machine.
+/// All requests of the day, ordered by time. The same day and seed give the same arrivals on every machine.
 [[nodiscard]] std::vector<Arrival> arrivals_of(const Day& day);
 
 }  // namespace paddlestand::simulation
--- a/simulation/scenario/system_under_test.cpp
+++ b/simulation/scenario/system_under_test.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 using std::chrono::steady_clock;
 
-constexpr auto start_timeout = 20s;  // for a process to say on which port it listens
+constexpr auto start_timeout = 20s;  // for a process to write its port file
 constexpr auto shutdown_timeout = 4s;
 constexpr auto poll_period = 10ms;
 constexpr auto port_file_poll_period = 5ms;
@@ -41,14 +41,14 @@
     if (file >> port && port > 0) return port;
     std::this_thread::sleep_for(port_file_poll_period);
   }
-  throw std::runtime_error("a process did not start: no " + path);
+  throw std::runtime_error("a process did not start: timed out waiting for " + path);
 }
 
 }  // namespace
 
 LogFile open_log(const std::string& folder, const std::string& name) {
   LogFile file(std::fopen((folder + "/" + name).c_str(), "w"));
-  if (file == nullptr) throw std::runtime_error(folder + ": can't be written to");
+  if (file == nullptr) throw std::runtime_error(folder + ": cannot be written to");
   return file;
 }
 
@@ -69,7 +69,7 @@
   publish_list();
   for (std::uint32_t index = 0; index < day_.managers; ++index) {
     managers_[index].port = static_cast<std::uint16_t>(wait_for_port(manager_file(index, "port")));
-    write_manager_configuration(index);  // with its port, for a restart
+    write_manager_configuration(index);  // with its port, which it keeps after a restart
   }
 }
 
@@ -152,7 +152,7 @@
 
 // ---- Discovery ----
 
-void SystemUnderTest::list_as(std::uint32_t index, ListedState state) {
+void SystemUnderTest::publish_state(std::uint32_t index, ListedState state) {
   listed_[index].state = state;
   publish_list();
 }
@@ -195,7 +195,7 @@
   return ports;
 }
 
-// ---- The end ----
+// ---- Shutdown ----
 
 void SystemUnderTest::stop(std::vector<std::string>& problems) {
   stop_managers(problems);
--- a/simulation/scenario/system_under_test.hpp
+++ b/simulation/scenario/system_under_test.hpp
@@ -1,4 +1,4 @@
-/// The engines and managers of a day: their processes, their files, and the log of what happened to them.
+/// The engines and managers of a day: their processes, their files, and the log of events that affect them.
 #pragma once
 
 #include <cstdint>
@@ -25,13 +25,13 @@
 /// Creates a log in the day's folder. Throws std::runtime_error.
 LogFile open_log(const std::string& folder, const std::string& name);
 
-/// Owns the processes of a day's engines and managers. Belongs to one thread.
+/// Owns the processes of a day's engines and managers. Not thread-safe.
 class SystemUnderTest {
  public:
-  /// Refers to `plan`.
+  /// `plan` must outlive this object.
   explicit SystemUnderTest(const DayPlan& plan);
 
-  /// Starts all processes and waits until they listen. Throws std::runtime_error where one does not.
+  /// Starts all processes and waits until they listen. Throws std::runtime_error if one does not.
   void start();
   [[nodiscard]] std::vector<std::uint16_t> manager_ports() const;
   [[nodiscard]] std::uint16_t control_port(std::uint32_t engine) const {
@@ -40,14 +40,14 @@
 
   // Engines.
   void kill_engine(std::uint32_t index);
-  /// Starts it again, with a slow start, on its previous ports, and waits until it listens.
+  /// Starts the engine on its previous ports, in slow start, and waits until it listens.
   void restart_engine(std::uint32_t index);
-  /// Changes an engine's state and publishes the list.
-  void list_as(std::uint32_t index, ListedState state);
-  /// Changes an engine's state for the next list.
+  /// Changes an engine's listed state and publishes the engine list.
+  void publish_state(std::uint32_t index, ListedState state);
+  /// Changes an engine's listed state as of the next list that is published.
   void set_unpublished_state(std::uint32_t index, ListedState state) { listed_[index].state = state; }
 
-  // Discovery. Between suspend and resume, which nest, no list is published.
+  // Discovery. No list is published between suspend and resume. These calls nest.
   void suspend_discovery() { ++discovery_suspensions_; }
   void resume_discovery();
 
@@ -56,13 +56,13 @@
   void kill_manager(std::uint32_t index) { managers_[index].process.kill(); }
   void request_manager_shutdown(std::uint32_t index) { managers_[index].process.request_shutdown(); }
   [[nodiscard]] bool is_manager_running(std::uint32_t index) { return managers_[index].process.is_running(); }
-  /// From here on, until it is started again, its end is no problem of the run.
+  /// Until the manager is started again, its end is not reported as a problem.
   void expect_manager_down(std::uint32_t index) { managers_[index].may_be_down = true; }
 
   /// Adds a line to events.jsonl, which the trace checker reads.
   void log_event(const nlohmann::json& event);
 
-  /// Ends all processes. Adds those that had ended unexpectedly to `problems`.
+  /// Stops all processes. Adds those that had ended unexpectedly to `problems`.
   void stop(std::vector<std::string>& problems);
 
  private:
@@ -91,8 +91,8 @@
   const Day& day_;
   LogFile events_;
   std::vector<Engine> engines_;
-  std::vector<ListedEngine> listed_;  // by engine, for the next list
-  std::vector<ListedState> published_;  // by engine, of the last list
+  std::vector<ListedEngine> listed_;  // by engine; entries of the next list
+  std::vector<ListedState> published_;  // by engine; states in the last published list
   std::vector<Manager> managers_;
   int discovery_suspensions_ = 0;
 };
