--- a/simulation/engine_model/engine_model.cpp
+++ b/simulation/engine_model/engine_model.cpp
@@ -11,7 +11,7 @@
 constexpr std::array<double, 4> weight_of_priority{1, 4, 8, 16};
 constexpr std::uint8_t max_priority = 3;
 constexpr double negligible_work = 1e-9;
-constexpr Seconds cold_update_period = 0.25;  // how often a cold engine's growing capacity is updated
+constexpr Seconds slow_start_update_period = 0.25;  // interval at which rates follow the growing capacity
 constexpr double sufficient_memory_share = 0.99;
 
 double weighted_threads(const Job& job) {
@@ -27,12 +27,12 @@
 Admission EngineModel::start(Seconds now, Job job) {
   run_to(now);
   if (has_crashed_) return Admission::crashed;
-  if (is_cold(now) && shape_.overload_multiple > 0 && crashes_under(now, job.work)) {
+  if (is_in_slow_start(now) && shape_.overload_multiple > 0 && crashes_under(now, job.work)) {
     has_crashed_ = true;
     return Admission::crashed;
   }
   if (jobs_.size() >= shape_.max_jobs) return Admission::overloaded;
-  Running run;
+  JobState run;
   run.job = job;
   if (run.job.granted_mb <= 0) run.job.granted_mb = run.job.memory_mb;
   read_tables(run);
@@ -43,23 +43,23 @@
   return Admission::accepted;
 }
 
-/// Whether the work that arrived within the overload window, with this, is more than a cold engine can take.
+/// Whether this job and the work that arrived within the overload window overload an engine in slow start.
 bool EngineModel::crashes_under(Seconds now, double work) {
-  while (!cold_work_.empty() && cold_work_.front().first < now - shape_.overload_window)
-    cold_work_.pop_front();
-  cold_work_.emplace_back(now, work);
+  while (!slow_start_work_.empty() && slow_start_work_.front().first < now - shape_.overload_window)
+    slow_start_work_.pop_front();
+  slow_start_work_.emplace_back(now, work);
   double total = 0;
-  for (const auto& [time, arrived] : cold_work_) total += arrived;
+  for (const auto& [time, arrived] : slow_start_work_) total += arrived;
   return total > shape_.overload_multiple * capacity(now) * shape_.overload_window;
 }
 
-void EngineModel::read_tables(Running& run) {
+void EngineModel::read_tables(JobState& run) {
   const auto found = std::find(cached_tables_.begin(), cached_tables_.end(), run.job.tables);
   const bool is_cached = found != cached_tables_.end();
   if (is_cached) cached_tables_.erase(found);
   cached_tables_.push_front(run.job.tables);
-  if (cached_tables_.size() > shape_.warm_tables) cached_tables_.pop_back();
-  run.total_work = run.job.work * (is_cached ? 1 - run.job.reads * shape_.warm_saves : 1);
+  if (cached_tables_.size() > shape_.max_cached_tables) cached_tables_.pop_back();
+  run.total_work = run.job.work * (is_cached ? 1 - run.job.read_share * shape_.cached_read_saving : 1);
 }
 
 bool EngineModel::cancel(Seconds now, JobId id) {
@@ -102,18 +102,18 @@
   const Demand demand = select_running();
   if (is_hung_ || demand.threads <= 0) return;
   distribute_cores(demand, throughput_per_core(demand));
-  if (is_paging(demand)) return;  // its cost is in the throughput of all
+  if (is_paging(demand)) return;  // throughput_per_core() includes the cost
   for (auto& [id, run] : jobs_) {
-    if (run.is_spilling) run.rate /= shape_.short_cost;
+    if (run.is_spilling) run.rate /= shape_.memory_shortage_cost;
   }
 }
 
-/// Jobs that have begun, then the others by priority, then by arrival.
+/// Jobs that have begun come first, then the others; each group is ordered by priority, then by arrival.
 std::vector<JobId> EngineModel::scheduling_order() const {
   std::vector<JobId> order = arrival_order_;
   std::stable_sort(order.begin(), order.end(), [this](JobId first_id, JobId second_id) {
-    const Running& first = jobs_.at(first_id);
-    const Running& second = jobs_.at(second_id);
+    const JobState& first = jobs_.at(first_id);
+    const JobState& second = jobs_.at(second_id);
     const bool first_has_begun = first.remaining_work < first.total_work;
     const bool second_has_begun = second.remaining_work < second.total_work;
     if (first_has_begun != second_has_begun) return first_has_begun;
@@ -122,13 +122,13 @@
   return order;
 }
 
-/// Decides which jobs run, wait for memory or for a load, or spill. Sets all rates to zero.
+/// Decides which jobs run, wait for memory or a table lock, or spill. Sets all rates to zero.
 EngineModel::Demand EngineModel::select_running() {
   Demand demand;
   std::set<std::uint64_t> locked_tables;
-  bool is_line_blocked = false;
+  bool is_queue_blocked = false;
   for (const JobId id : scheduling_order()) {
-    Running& run = jobs_.at(id);
+    JobState& run = jobs_.at(id);
     run.is_waiting = false;
     run.is_spilling = false;
     run.rate = 0;
@@ -139,8 +139,9 @@
     }
     const bool is_memory_short =
         demand.memory_mb + run.job.granted_mb > shape_.memory_mb && demand.memory_mb > 0;
-    if (is_memory_short && shape_.when_short == MemoryShort::wait_in_line) is_line_blocked = true;
-    if (is_line_blocked) {
+    if (is_memory_short && shape_.memory_shortage_policy == MemoryShortagePolicy::wait)
+      is_queue_blocked = true;
+    if (is_queue_blocked) {
       run.is_waiting = true;
       continue;
     }
@@ -154,23 +155,24 @@
 }
 
 bool EngineModel::is_paging(const Demand& demand) const {
-  return shape_.when_short == MemoryShort::page && demand.memory_mb > shape_.memory_mb;
+  return shape_.memory_shortage_policy == MemoryShortagePolicy::page && demand.memory_mb > shape_.memory_mb;
 }
 
 double EngineModel::throughput_per_core(const Demand& demand) const {
   const double threads_per_core = demand.threads / shape_.cores;
   double throughput = capacity(now_);
-  if (threads_per_core > shape_.knee) throughput /= 1 + shape_.fall_beyond * (threads_per_core - shape_.knee);
-  if (is_paging(demand)) throughput /= shape_.short_cost;
+  if (threads_per_core > shape_.saturation_threads_per_core)
+    throughput /= 1 + shape_.oversubscription_cost * (threads_per_core - shape_.saturation_threads_per_core);
+  if (is_paging(demand)) throughput /= shape_.memory_shortage_cost;
   return throughput / shape_.cores;
 }
 
-/// Gives cores to the running jobs by priority, but to none more than its threads can use: what it can't use
-/// is distributed among the others.
+/// Distributes the cores over the running jobs by priority. No job gets more than its threads can use; the
+/// remainder is distributed over the other jobs.
 void EngineModel::distribute_cores(const Demand& demand, double throughput_per_core) {
-  std::vector<Running*> unsatisfied;
+  std::vector<JobState*> unsatisfied;
   for (const JobId id : arrival_order_) {
-    Running& run = jobs_.at(id);
+    JobState& run = jobs_.at(id);
     if (!run.is_waiting) unsatisfied.push_back(&run);
   }
   double cores = shape_.cores;
@@ -179,7 +181,7 @@
   while (has_changed && !unsatisfied.empty()) {
     has_changed = false;
     for (auto it = unsatisfied.begin(); it != unsatisfied.end();) {
-      Running& run = **it;
+      JobState& run = **it;
       const double own_weight = weighted_threads(run.job);
       if (cores * own_weight / weight < run.job.threads) {
         ++it;
@@ -192,20 +194,20 @@
       has_changed = true;
     }
   }
-  for (Running* run : unsatisfied)
+  for (JobState* run : unsatisfied)
     run->rate = std::max(0.0, cores) * weighted_threads(run->job) / weight * throughput_per_core;
 }
 
 // ---- Time ----
 
-bool EngineModel::is_cold(Seconds now) const {
+bool EngineModel::is_in_slow_start(Seconds now) const {
   return shape_.slow_start_duration > 0 && now < started_ + shape_.slow_start_duration;
 }
 
-/// Seconds of work on one thread per second, of all cores together.
+/// Total capacity of all cores, in seconds of single-threaded work per second.
 double EngineModel::capacity(Seconds now) const {
   double share = 1;
-  if (is_cold(now)) {
+  if (is_in_slow_start(now)) {
     share = shape_.slow_start_capacity_share +
             (1 - shape_.slow_start_capacity_share) * (now - started_) / shape_.slow_start_duration;
   }
@@ -219,8 +221,8 @@
     const Seconds end = now_ + run.remaining_work / run.rate;
     if (!first || end < *first) first = end;
   }
-  // A cold engine's capacity grows meanwhile: the rates are computed again before the end.
-  if (first && is_cold(now_)) first = std::min(*first, now_ + cold_update_period);
+  // The capacity grows during slow start, so the rates are recomputed before the job ends.
+  if (first && is_in_slow_start(now_)) first = std::min(*first, now_ + slow_start_update_period);
   return first;
 }
 
@@ -231,23 +233,23 @@
     const Seconds span = target - now_;
     now_ = target;
     const bool has_finished = !remove_finished(span).empty();
-    const bool has_new_capacity =
-        shape_.slow_start_duration > 0 && now_ < started_ + shape_.slow_start_duration + cold_update_period;
+    const bool has_new_capacity = shape_.slow_start_duration > 0 &&
+                                  now_ < started_ + shape_.slow_start_duration + slow_start_update_period;
     if (has_finished || has_new_capacity) reschedule();
     if (!has_finished && span <= 0) break;
   }
 }
 
-/// Lets all jobs run for `span` and removes those that end with it.
+/// Advances all jobs by `span` and removes those that have finished.
 std::vector<JobId> EngineModel::remove_finished(Seconds span) {
   std::vector<JobId> finished;
   for (const JobId id : arrival_order_) {
-    Running& run = jobs_.at(id);
+    JobState& run = jobs_.at(id);
     run.remaining_work -= run.rate * span;
     if (run.remaining_work <= negligible_work + run.rate * 1e-9) finished.push_back(id);
   }
   for (const JobId id : finished) {
-    const Running& run = jobs_.at(id);
+    const JobState& run = jobs_.at(id);
     ended_.push_back({id, run.total_work, run.job.memory_mb});
     jobs_.erase(id);
     std::erase(arrival_order_, id);
@@ -289,7 +291,7 @@
   arrival_order_.clear();
   ended_.clear();
   cached_tables_.clear();
-  cold_work_.clear();
+  slow_start_work_.clear();
   started_ = now;
   is_hung_ = false;
   has_crashed_ = false;
--- a/test_engine/main.cpp
+++ b/test_engine/main.cpp
@@ -44,10 +44,10 @@
   app.add_flag("--cold", settings.begins_slow_start, "Begin with a slow start");
 }
 
-simulation::MemoryShort memory_short_of(const std::string& text) {
-  if (text == "wait") return simulation::MemoryShort::wait_in_line;
-  if (text == "spill") return simulation::MemoryShort::spill;
-  return simulation::MemoryShort::page;
+simulation::MemoryShortagePolicy memory_short_of(const std::string& text) {
+  if (text == "wait") return simulation::MemoryShortagePolicy::wait;
+  if (text == "spill") return simulation::MemoryShortagePolicy::spill;
+  return simulation::MemoryShortagePolicy::page;
 }
 
 /// Replaces the file at once: a reader sees both ports or none. Whether it could be written.
@@ -75,7 +75,7 @@
   Options options;
   add_options(app, options);
   CLI11_PARSE(app, argc, argv);
-  options.settings.shape.when_short = memory_short_of(options.memory_shortage);
+  options.settings.shape.memory_shortage_policy = memory_short_of(options.memory_shortage);
   signal(SIGPIPE, SIG_IGN);
   try {
     return run(options);
--- a/test_engine/query_profile.cpp
+++ b/test_engine/query_profile.cpp
@@ -38,7 +38,7 @@
   profile.job.work = profile.number_tag("sim_work_ms", default_work_ms) / 1000;
   profile.job.threads = profile.number_tag("sim_threads", 1);
   profile.job.memory_mb = profile.number_tag("sim_memory_mb", 0);
-  profile.job.reads = profile.number_tag("sim_reads", default_read_share);
+  profile.job.read_share = profile.number_tag("sim_reads", default_read_share);
   profile.job.writes = profile.number_tag("sim_write", 0) > 0;
   profile.job.waits_for_writers = true;
   profile.job.tables = static_cast<std::uint64_t>(profile.number_tag("tables", 0));
