--- a/apps/day.cpp
+++ b/apps/day.cpp
@@ -1,4 +1,4 @@
-/// `paddlestand day run` and `paddlestand day audit`: run a day with faults, and check its logs.
+/// `paddlestand day run` and `paddlestand day audit`: run a day with faults and check its logs.
 #include <unistd.h>
 
 #include <filesystem>
@@ -16,15 +16,15 @@
 
 struct DayOptions {
   std::string file;
-  std::string report_file;  // empty: none is written
-  std::string folder;  // empty: a temporary one
-  std::string engine_program;  // empty: the one beside this program
-  std::optional<std::uint64_t> seed;  // in place of the file's
+  std::string report_file;  // empty: write no report
+  std::string folder;  // empty: use a temporary folder
+  std::string engine_program;  // empty: use the test engine in this program's folder
+  std::optional<std::uint64_t> seed;  // overrides the seed of the day's file
   bool keep_logs = false;
 };
 
-/// The path of this program; empty where it can't be found out.
-std::string own_program() {
+/// The path of this program; empty if it cannot be determined.
+std::string own_program_path() {
   std::error_code error;
   return fs::read_symlink("/proc/self/exe", error).string();
 }
@@ -35,7 +35,7 @@
   return out.good();
 }
 
-/// Prints a verdict and writes the report if one is wanted. Returns the exit code.
+/// Prints a verdict and writes the report if `report_file` is not empty. Returns the exit code.
 int report_verdict(const trace_checker::Verdict& verdict, const std::vector<std::string>& problems,
                    const std::string& report_file) {
   for (const trace_checker::RuleViolation& violation : verdict.violations) {
@@ -44,27 +44,27 @@
   }
   for (const std::string& problem : problems) std::cout << "problem: " << problem << "\n";
   if (!report_file.empty() && !write_report(report_file, verdict)) {
-    return report_failure(report_file + ": can't be written");
+    return report_failure(report_file + ": cannot be written");
   }
   std::cout << trace_checker::summary(verdict) << (problems.empty() ? "" : "; the run had problems") << "\n";
   return verdict.by_rule.empty() && problems.empty() ? exit_success : exit_failure;
 }
 
-/// The folder for the logs, empty and created where needed; an exit code where there is none.
-std::variant<std::string, int> prepare_folder(const std::string& wanted) {
-  if (wanted.empty()) {
+/// Returns an empty folder for the logs, which is created if necessary, or an exit code after an error.
+std::variant<std::string, int> prepare_folder(const std::string& path) {
+  if (path.empty()) {
     std::string pattern = (fs::temp_directory_path() / "paddlestand-day-XXXXXX").string();
     if (mkdtemp(pattern.data()) != nullptr) return pattern;
-    return report_failure("no folder for the day's logs");
+    return report_failure("cannot create a temporary folder for the day's logs");
   }
   std::error_code error;
-  fs::create_directories(wanted, error);
-  if (!error && fs::is_empty(wanted, error)) return wanted;
-  return report_bad_input(wanted + "; wanted: an empty folder, or none");
+  fs::create_directories(path, error);
+  if (!error && fs::is_empty(path, error)) return path;
+  return report_bad_input(path + ": expected an empty folder or a path that does not exist");
 }
 
-/// Runs the day and reports its verdict. The logs of a day without a violation in a temporary folder are
-/// removed.
+/// Runs the day and reports its verdict. Logs in a temporary folder are removed if the day passed and they
+/// are not to be kept.
 int run_in_folder(const DayOptions& options, const simulation::DayPlan& plan, const std::string& folder) {
   try {
     const simulation::DayResult result =
@@ -86,7 +86,7 @@
   simulation::DayPlan plan;
   plan.day = std::move(day);
   if (options.seed) plan.day.seed = *options.seed;
-  plan.manager_program = own_program();
+  plan.manager_program = own_program_path();
   plan.engine_program = options.engine_program;
   if (plan.engine_program.empty())
     plan.engine_program = (fs::path(plan.manager_program).parent_path() / "paddlestand_test_engine").string();
@@ -107,7 +107,7 @@
 int check_logs(const std::string& file, const std::string& folder, const std::string& report_file) {
   const auto day = simulation::read_day(file);
   if (const auto* fault = std::get_if<config::Fault>(&day)) return report_bad_input(fault->text());
-  if (!fs::is_directory(folder)) return report_bad_input(folder + ": no folder");
+  if (!fs::is_directory(folder)) return report_bad_input(folder + ": not a folder");
   std::vector<std::string> problems;
   auto records = trace_checker::read_logs(folder, problems);
   const auto parameters = simulation::parameters_of(std::get<simulation::Day>(day));
@@ -119,19 +119,21 @@
 void add_day_command(CLI::App& app, int& result) {
   static DayOptions options;
   static std::string logs;
-  auto* day = app.add_subcommand("day", "Days with troubles, on loopback, judged from the sockets");
+  auto* day = app.add_subcommand(
+      "day", "Run a scenario with faults over real processes on loopback, and check its logs");
   day->require_subcommand(1);
-  auto* run = day->add_subcommand("run", "Run a day; exit 0 only where no rule was broken");
-  run->add_option("file", options.file, "The day (XML, schema/day.xsd)")->required();
+  auto* run = day->add_subcommand("run", "Run a day; the exit code is 0 only if no rule was violated");
+  run->add_option("file", options.file, "The day's file (XML, schema/day.xsd)")->required();
   run->add_option("--report", options.report_file, "Write the verdict as JSON to this file");
-  run->add_option("--folder", options.folder, "Keep settings and logs in this empty folder");
-  run->add_option("--seed", options.seed, "Another seed than the file's");
-  run->add_option("--engine", options.engine_program, "Another stand-in program");
-  run->add_flag("--keep", options.keep_logs, "Keep the logs of a day that went well too");
+  run->add_option("--folder", options.folder,
+                  "Write settings and logs to this folder, which must be empty or not exist");
+  run->add_option("--seed", options.seed, "Use this seed instead of the one in the file");
+  run->add_option("--engine", options.engine_program, "Path of the test engine program");
+  run->add_flag("--keep", options.keep_logs, "Keep the logs even if the day passes");
   run->callback([&result] { result = run_day(options); });
-  auto* audit = day->add_subcommand("audit", "Judge the logs of a day that was run before");
-  audit->add_option("file", options.file, "The day")->required();
-  audit->add_option("logs", logs, "The folder of its logs")->required();
+  auto* audit = day->add_subcommand("audit", "Check the logs of a day that was run before");
+  audit->add_option("file", options.file, "The day's file (XML, schema/day.xsd)")->required();
+  audit->add_option("logs", logs, "Folder with the logs of the day")->required();
   audit->add_option("--report", options.report_file, "Write the verdict as JSON to this file");
   audit->callback([&result] { result = check_logs(options.file, logs, options.report_file); });
 }
--- a/apps/paddlestand.cpp
+++ b/apps/paddlestand.cpp
@@ -1,5 +1,5 @@
-/// The command line: the subcommands `serve`, `check-config` and `make-verifier`, and those of the other
-/// files.
+/// The command line, with the subcommands `serve`, `check-config` and `make-verifier`. The other subcommands
+/// have files of their own.
 #include <openssl/rand.h>
 #include <sys/resource.h>
 
@@ -29,17 +29,18 @@
 
 struct ServeOptions {
   std::string config_path;
-  std::string port_file;  // empty: none is written
+  std::string port_file;  // empty: write no port file
   bool keep_descriptor_limit = false;
 };
 
-/// The users, and the password at the engines, from the files that the settings name.
+/// The users and the password for the engines, read from the files that the settings name.
 struct Credentials {
   pg::Users users;
   std::string engine_password;
 };
 
-/// Raises the soft limit of descriptors to the hard one, as any user may: sessions and channels need them.
+/// Raises the soft limit on file descriptors, which sessions and channels need, to the hard limit. Requires
+/// no privileges.
 void raise_descriptor_limit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -47,8 +48,8 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-/// Waits, for a bounded time, until the file can be read or the error is not a transient one. An empty path
-/// names no file.
+/// Waits for a bounded time until the file can be read or the error is not transient. Does nothing for an
+/// empty path.
 void wait_for_file(const std::string& path) {
   const auto end = std::chrono::steady_clock::now() + max_start_time;
   while (!path.empty() && std::chrono::steady_clock::now() < end) {
@@ -59,8 +60,8 @@
   }
 }
 
-/// Writes the port to a file that appears complete or not at all, since another process waits for it. Retries
-/// for a bounded time while its folder exists; false where it could not be written.
+/// Writes the port to a file, atomically, since another process waits for the file. Retries for a bounded
+/// time while the folder exists. Returns false if the file could not be written.
 bool write_port_file(const std::string& path, std::uint16_t port) {
   const std::string temporary = path + ".new";
   const auto folder = std::filesystem::absolute(path).parent_path();
@@ -75,7 +76,8 @@
   return false;
 }
 
-/// The credentials that the settings name. `before_read` is called with each file before it is read.
+/// Reads the credentials that the settings name. `before_read` is called with each file's path before it is
+/// read.
 template <typename BeforeRead>
 std::variant<Credentials, service::CredentialsError> read_credentials(const config::ManagerConfig& config,
                                                                       BeforeRead before_read) {
@@ -109,11 +111,11 @@
   });
   if (!started) return exit_failure;
   if (!options.port_file.empty() && !write_port_file(options.port_file, hosted.host->port()))
-    return report_bad_input(options.port_file + ": can't be written");
+    return report_bad_input(options.port_file + ": cannot be written");
   return run_host(hosted);
 }
 
-/// Reads the settings and the files that they name, and prints a summary or the first fault.
+/// Reads the settings and the files that they name, and prints a summary or the first error.
 int check_config(const std::string& path) {
   const auto read = config::read_manager_config(path);
   if (const auto* fault = std::get_if<config::Fault>(&read)) return report_bad_input(fault->text());
@@ -133,12 +135,12 @@
   return exit_success;
 }
 
-/// Prints a line of a users' file. The password is read from standard input, so that it appears in no list of
-/// processes and in no shell history.
+/// Prints a line for a users file. The password is read from standard input, so that it does not appear in
+/// process lists or the shell history.
 int make_verifier(const std::string& user) {
   std::string password;
   std::getline(std::cin, password);
-  if (password.empty()) return report_bad_input("wanted: a password, as one line on standard input");
+  if (password.empty()) return report_bad_input("expected a password, as one line on standard input");
   std::string salt(salt_bytes, '\0');
   RAND_bytes(reinterpret_cast<unsigned char*>(salt.data()), static_cast<int>(salt.size()));
   std::cout << user << " " << pg::Verifier::of_password(password, salt).text() << "\n";
@@ -148,28 +150,28 @@
 void add_serve_command(CLI::App& app, int& result) {
   static ServeOptions options;
   auto* serve_command = app.add_subcommand("serve", "Run the workload manager until SIGTERM");
-  serve_command->add_option("-c,--config", options.config_path, "Its settings (XML, schema/manager.xsd)")
+  serve_command->add_option("-c,--config", options.config_path, "Settings file (XML, schema/manager.xsd)")
       ->required();
   serve_command->add_option("--port-file", options.port_file,
-                            "Write the port that it listens on to this file");
+                            "Write the port that the manager listens on to this file");
   serve_command->add_flag("--keep-descriptor-limit", options.keep_descriptor_limit,
-                          "Don't raise the soft limit of descriptors");
+                          "Do not raise the soft limit on file descriptors");
   serve_command->callback([&result] { result = serve(options); });
 }
 
 void add_check_config_command(CLI::App& app, int& result) {
   static std::string path;
-  auto* command =
-      app.add_subcommand("check-config", "Read settings and all that they name; say what is wrong");
-  command->add_option("config", path, "The settings")->required();
+  auto* command = app.add_subcommand(
+      "check-config", "Check settings and the files that they name, and print the first error");
+  command->add_option("config", path, "Settings file (XML, schema/manager.xsd)")->required();
   command->callback([&result] { result = check_config(path); });
 }
 
 void add_make_verifier_command(CLI::App& app, int& result) {
   static std::string user;
-  auto* command =
-      app.add_subcommand("make-verifier", "Turn a password on standard input into a users' file line");
-  command->add_option("user", user, "The user's name")->required();
+  auto* command = app.add_subcommand(
+      "make-verifier", "Read a password from standard input and print a line for the users file");
+  command->add_option("user", user, "Name of the user")->required();
   command->callback([&result] { result = make_verifier(user); });
 }
 
@@ -178,12 +180,12 @@
 
 int main(int argc, char** argv) {
   using namespace paddlestand;
-  CLI::App app{"paddlestand: a workload manager before analytic engines"};
+  CLI::App app{"paddlestand: a workload manager in front of analytic engines"};
   app.require_subcommand(1);
   app.footer(
-      "Exit codes: 0 well; 1 the command failed, or a day broke a rule; 2 bad input or settings,\n"
-      "told on standard error as file:line: what was wanted; 3 bad usage.\n"
-      "More: docs/operators/ in the sources.");
+      "Exit codes: 0 success; 1 the command failed, or a day violated a rule; 2 invalid input or settings,\n"
+      "reported on standard error as file:line: error; 3 invalid command line.\n"
+      "Documentation: docs/operators/ in the source tree.");
   int result = 0;
 
   app::add_serve_command(app, result);
--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -1,4 +1,4 @@
-/// `paddlestand platform`: the workload manager on the platform's protocol.
+/// `paddlestand platform`: runs the workload manager with the platform's protocol.
 #include <boost/asio/io_context.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -11,7 +11,7 @@
 namespace paddlestand::app {
 namespace {
 
-/// Command line and environment.
+/// Options from the command line and the environment.
 struct PlatformOptions {
   std::string config;  // path
   std::string listen;
@@ -24,7 +24,7 @@
   return problem != nullptr && problem->transient;
 }
 
-/// Reads the configuration, with retries for a bounded time while the error is a transient one.
+/// Reads the configuration, with retries for a bounded time while the error is transient.
 std::variant<platform::PlatformConfig, platform::Problem> read_config_with_retries(const std::string& path) {
   const auto end = std::chrono::steady_clock::now() + max_start_time;
   auto read = platform::read_config(path);
@@ -37,7 +37,7 @@
 
 int run_platform(const PlatformOptions& options) {
   if (options.config.empty())
-    return report_bad_input("PROXY_CONFIG is not set; wanted: the path of the configuration");
+    return report_bad_input("PROXY_CONFIG is not set; expected the path of the configuration file");
   service::PendingSignals::install();
   auto read = read_config_with_retries(options.config);
   if (const auto* problem = std::get_if<platform::Problem>(&read)) return report_bad_input(problem->text);
@@ -64,10 +64,10 @@
 void add_platform_command(CLI::App& app, int& result) {
   static PlatformOptions options;
   auto* run =
-      app.add_subcommand("platform", "Run the workload manager on the platform's protocol until SIGTERM");
-  run->add_option("-c,--config", options.config, "Its configuration (JSON)")->envname("PROXY_CONFIG");
-  run->add_option("--listen", options.listen, "Where clients connect")->envname("PROXY_LISTEN");
-  run->add_option("--name", options.name, "Its name")->envname("PROXY_NAME");
+      app.add_subcommand("platform", "Run the workload manager with the platform's protocol until SIGTERM");
+  run->add_option("-c,--config", options.config, "Configuration file (JSON)")->envname("PROXY_CONFIG");
+  run->add_option("--listen", options.listen, "Address to listen on for clients")->envname("PROXY_LISTEN");
+  run->add_option("--name", options.name, "Name of this manager")->envname("PROXY_NAME");
   run->add_flag("--trace", options.trace, "Log each request, attempt and answer");
   run->callback([&result] { result = run_platform(options); });
 }
--- a/apps/start.hpp
+++ b/apps/start.hpp
@@ -1,4 +1,4 @@
-/// Starting a host on a machine whose system calls may fail for a moment.
+/// Starts a host, with retries if system calls fail transiently.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,14 +16,15 @@
 
 namespace paddlestand::app {
 
-/// How long a start is retried for lack of memory, descriptors or the like, which may end in a moment.
+/// How long a start is retried when memory, descriptors or similar resources are exhausted.
 inline constexpr auto max_start_time = std::chrono::seconds(20);
-/// The same where the address is in use or not available, which is more likely to last.
+/// How long a start is retried when the address is in use or not available, which is less likely to be
+/// transient.
 inline constexpr auto max_address_wait = std::chrono::seconds(3);
-/// Between two attempts.
+/// Time between two attempts to start.
 inline constexpr auto start_retry_interval = std::chrono::milliseconds(20);
 
-/// Whether a start that failed with this error may be retried, `elapsed` after the first attempt.
+/// Whether a start that failed with this error may be retried. `elapsed`: the time since the first attempt.
 [[nodiscard]] inline bool may_retry_start(int error_number, std::chrono::nanoseconds elapsed) {
   const auto verdict = core::verdict_of(core::SystemCall::bind, error_number);
   if (verdict != core::CallVerdict::retry_now && verdict != core::CallVerdict::retry_later) return false;
@@ -32,7 +33,8 @@
   return elapsed < limit;
 }
 
-/// Calls `start` until it succeeds. Rethrows the first error that is not transient, or the last one in time.
+/// Calls `start` until it succeeds. Rethrows the first error that is not transient or that occurs after the
+/// retry time.
 inline void start_with_retries(const std::function<void()>& start) {
   const auto first_attempt = std::chrono::steady_clock::now();
   const auto elapsed = [first_attempt] { return std::chrono::steady_clock::now() - first_attempt; };
@@ -49,7 +51,7 @@
   }
 }
 
-/// A host with its loop, made anew for each attempt to start it. The host is destroyed before the loop.
+/// A host with its event loop. Both are recreated for each attempt to start; the host is destroyed first.
 template <typename Host>
 struct Hosted {
   std::unique_ptr<boost::asio::io_context> io;
@@ -61,8 +63,8 @@
   }
 };
 
-/// Makes a host with `make`, which is given a loop, and starts it. False, with a line on standard error that
-/// names the `address`, where it can't be started.
+/// Creates a host with `make`, which receives the event loop, and starts it. If that fails, prints an error
+/// with the `address` on standard error and returns false.
 template <typename Host, typename Make>
 [[nodiscard]] bool start_host(Hosted<Host>& hosted, const std::string& address, Make make) {
   try {
@@ -74,7 +76,7 @@
     });
   } catch (const std::exception& error) {
     hosted.reset();
-    std::cerr << "paddlestand: can't listen on " << address << ": " << error.what() << "\n";
+    std::cerr << "paddlestand: cannot listen on " << address << ": " << error.what() << "\n";
     return false;
   }
   return true;
