--- a/tests/service/failure_fixtures.hpp
+++ b/tests/service/failure_fixtures.hpp
@@ -1,5 +1,5 @@
-/// What the tests of failures need beside a manager: shortages of the machine, engines' logs and lists,
-/// logins.
+/// Fixtures for tests of failures: a full accept queue, a shortage of descriptors, truth logs, engine list
+/// files and SCRAM logins.
 #pragma once
 
 #include <sys/resource.h>
@@ -16,7 +16,7 @@
 
 namespace paddlestand::service::test {
 
-/// What the engines logged of the query with this sim_id.
+/// The events in a truth log that concern the query with this sim_id.
 inline std::vector<nlohmann::json> events_of(const std::string& log_path, const std::string& id) {
   std::vector<nlohmann::json> events;
   std::ifstream file(log_path);
@@ -32,7 +32,7 @@
       std::count_if(events.begin(), events.end(), [&](const auto& event) { return event["what"] == what; }));
 }
 
-/// A listening socket that nobody accepts from, its queue full: connecting to it hangs.
+/// A listening socket whose accept queue is full and never emptied: connecting to it hangs.
 class FullListenQueue {
  public:
   FullListenQueue() : listener_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -54,7 +54,7 @@
   FullListenQueue(const FullListenQueue&) = delete;
   FullListenQueue& operator=(const FullListenQueue&) = delete;
 
-  /// False where the machine did not let it listen.
+  /// False if the socket could not be bound or could not listen.
   [[nodiscard]] bool is_full() const { return is_full_; }
   [[nodiscard]] std::uint16_t port() const { return port_; }
 
@@ -65,7 +65,7 @@
   std::vector<int> queued_;
 };
 
-/// While it lives, this process has one free descriptor.
+/// Leaves this process a single free descriptor while the object exists.
 class DescriptorShortage {
  public:
   DescriptorShortage() {
@@ -89,51 +89,52 @@
   std::vector<int> occupied_;
 };
 
-/// A folder of files of a manager and its engines, removed at the end.
-class FilesFolder {
+/// A folder for the files of a manager and its engines, removed on destruction.
+class TemporaryFolder {
  public:
-  FilesFolder() : path_(::testing::TempDir() + "list-" + std::to_string(getpid()) + "/") {
+  TemporaryFolder() : path_(::testing::TempDir() + "list-" + std::to_string(getpid()) + "/") {
     mkdir(path_.c_str(), 0700);
   }
-  ~FilesFolder() {
+  ~TemporaryFolder() {
     for (const char* file : {"engines.xml", "truth.jsonl", "manager.xml"}) remove(file);
     rmdir(path_.c_str());
   }
-  FilesFolder(const FilesFolder&) = delete;
-  FilesFolder& operator=(const FilesFolder&) = delete;
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
 
   [[nodiscard]] std::string path(const std::string& file) const { return path_ + file; }
   void write(const std::string& file, const std::string& text) const { std::ofstream(path(file)) << text; }
   void remove(const std::string& file) const { unlink(path(file).c_str()); }
-  /// Replaces the file at once: no reader sees a part of it.
+  /// Replaces the file atomically: no reader sees a part of the new one.
   void replace(const std::string& file, const std::string& text) const {
     write("fresh", text);
     rename(path("fresh").c_str(), path(file).c_str());
   }
-  /// `engines`: engine_element()s and the end of the list.
-  void replace_engine_list(const std::string& engines) const {
-    replace("engines.xml", "<engines xmlns=\"urn:paddlestand:manager:1\">" + engines);
+  /// `content`: the results of engine_element() and the closing tag.
+  void replace_engine_list(const std::string& content) const {
+    replace("engines.xml", "<engines xmlns=\"urn:paddlestand:manager:1\">" + content);
   }
 
  private:
   std::string path_;
 };
 
-/// manager_settings() that name the engine list of their folder.
+/// Settings without engines that name engines.xml in their folder as the engine list file.
 inline std::string manager_settings_with_list_file() {
   auto settings = manager_settings({});
   settings.replace(settings.find("<engines>"), 9, "<engines file=\"engines.xml\" poll=\"10ms\">");
   return settings;
 }
 
+/// An element of an engine list.
 inline std::string engine_element(int id, std::uint16_t port, const char* state) {
   return "<engine id=\"" + std::to_string(id) + "\" name=\"e" + std::to_string(id) +
          "\" address=\"127.0.0.1\" kind=\"std\" port=\"" + std::to_string(port) + "\" state=\"" + state +
          "\"/>";
 }
 
-/// Logs in with SCRAM: "in", the SQLSTATE of the rejection, "ended" where the server closes without one, or
-/// "broken" where it violates the protocol.
+/// Logs in with SCRAM. Returns "logged in", the SQLSTATE of the rejection, "closed" if the server closes the
+/// connection without an error, or "protocol error" if it violates the protocol.
 inline std::string scram_login(std::uint16_t port, const char* user, const char* password) {
   RawClient client(port, Login::skip);
   pg::BackendConnection connection;
@@ -141,15 +142,15 @@
   std::vector<pg::BackendEvent> events;
   while (events.empty()) {
     const auto message = client.next_message();
-    if (!message) return "ended";
+    if (!message) return "closed";
     std::string bytes;
     std::string reply;
     pg::put_raw(bytes, message->type, message->body);
     connection.feed(bytes, events, reply);
     client.send(reply);
   }
-  if (const auto* refused = std::get_if<pg::BackendLoginRejected>(&events[0])) return refused->error.code;
-  return std::holds_alternative<pg::BackendReady>(events[0]) ? "in" : "broken";
+  if (const auto* rejected = std::get_if<pg::BackendLoginRejected>(&events[0])) return rejected->error.code;
+  return std::holds_alternative<pg::BackendReady>(events[0]) ? "logged in" : "protocol error";
 }
 
 }  // namespace paddlestand::service::test
--- a/tests/service/hard_cases_test.cpp
+++ b/tests/service/hard_cases_test.cpp
@@ -1,5 +1,5 @@
-/// Failures of engines, clients, files and the machine, caused over real sockets. No duration is asserted; a
-/// message that must not arrive is given a moment to arrive.
+/// Failures of engines, clients and files, and shortages of system resources, over real sockets. No duration
+/// is asserted. A check that no further message arrives waits for a short time.
 #include <optional>
 
 #include "failure_fixtures.hpp"
@@ -72,7 +72,7 @@
 }
 
 TEST(HardCase, ClientDisconnectsWithANonIdempotentQueryInFlight) {
-  const std::string log = ::testing::TempDir() + "truth-gone-" + std::to_string(getpid()) + ".jsonl";
+  const std::string log = ::testing::TempDir() + "truth-disconnect-" + std::to_string(getpid()) + ".jsonl";
   test_engine::TestEngineSettings engine_settings;
   engine_settings.truth_log = log;
   Engine first(engine_settings), second(engine_settings);
@@ -80,25 +80,25 @@
 
   {
     RawClient client(manager.port());
-    client.send_query("select 1 /*class='settle',sim_work_ms='60000',sim_id='gone'*/");
+    client.send_query("select 1 /*class='settle',sim_work_ms='60000',sim_id='abandoned'*/");
     ASSERT_TRUE(comes_true([&] { return manager.counts().attempts_out == 1; }));
-    ASSERT_TRUE(comes_true([&] { return count_events(events_of(log, "gone"), "started") == 1; }));
+    ASSERT_TRUE(comes_true([&] { return count_events(events_of(log, "abandoned"), "started") == 1; }));
   }
 
   EXPECT_TRUE(manager.becomes_idle());
-  EXPECT_TRUE(comes_true([&] { return count_events(events_of(log, "gone"), "cancelled") == 1; }));
-  EXPECT_EQ(count_events(events_of(log, "gone"), "received"), 1U);
+  EXPECT_TRUE(comes_true([&] { return count_events(events_of(log, "abandoned"), "cancelled") == 1; }));
+  EXPECT_EQ(count_events(events_of(log, "abandoned"), "received"), 1U);
   unlink(log.c_str());
 }
 
-TEST(HardCase, ALateCancelNeverStrikesTheNextQueryOnAnEngine) {
+TEST(HardCase, ALateCancelNeverCancelsTheNextQueryOnAnEngine) {
   Engine engine;
   RunningManager manager(manager_settings({engine->port()}));
   const std::uint16_t port = manager.port();
   RawClient cancelling(port), other(port);
 
   for (int i = 0; i < 60; ++i) {
-    // Ends about when its cancel arrives: before, at the same time, or after.
+    // The query ends before its cancel arrives, at the same time or afterwards.
     cancelling.send_query("select 1 /*sim_work_ms='" + std::to_string(i % 4) + "'*/");
     send_cancel(port, cancelling.cancel_key());
     ASSERT_EQ(other.execute("select 2 /*sim_work_ms='1'*/"), "TDCZ") << other.error_code();
@@ -163,7 +163,8 @@
   RawClient stalled(manager.port()), other(manager.port());
 
   stalled.send_query("select 1 /*deadline_ms='60000',sim_rows='60000',sim_row_bytes='1000'*/");
-  // It settles between half a window and a window and one read: bytes that the kernel accepts late lower it.
+  // The buffered amount settles between half of the window and the window plus one read. It decreases when
+  // the kernel accepts bytes late.
   ASSERT_TRUE(comes_true([&] { return manager.counts().bytes_buffered > 128 * 1024; }));
 
   for (int i = 0; i < 20; ++i) {
@@ -223,7 +224,7 @@
     ASSERT_EQ(client.execute("select 1 /*class='settle'*/"), "TDCZ") << client.error_code();
 }
 
-TEST(HardCase, EngineRejectsForWantOfCapacity) {
+TEST(HardCase, EngineRejectsForLackOfCapacity) {
   Engine full, good;
   full.command("full");
   RunningManager manager(manager_settings({full->port(), good->port()}));
@@ -238,11 +239,11 @@
   RunningManager manager(manager_settings({engine->port()}));
   const std::uint16_t port = manager.port();
   RawClient established(port);
-  ASSERT_EQ(established.execute("select 1"), "TDCZ");  // its channel is idle
+  ASSERT_EQ(established.execute("select 1"), "TDCZ");  // leaves an idle channel
 
   std::optional<DescriptorShortage> shortage(std::in_place);
   RawClient waiting(port, Login::skip);
-  ASSERT_TRUE(waiting.is_connected());  // by the kernel; accept() finds no descriptor
+  ASSERT_TRUE(waiting.is_connected());  // by the kernel; accept() fails for lack of a descriptor
 
   EXPECT_EQ(established.execute("select 1"), "TDCZ");
 
@@ -274,7 +275,7 @@
   RunningManager manager(manager_settings({}), users);
   const std::uint16_t port = manager.port();
 
-  EXPECT_EQ(scram_login(port, "ann", "right"), "in");
+  EXPECT_EQ(scram_login(port, "ann", "right"), "logged in");
   EXPECT_EQ(scram_login(port, "ann", "wrong"), "28P01");
   EXPECT_EQ(scram_login(port, "bob", "right"), "28P01");
 }
@@ -310,8 +311,8 @@
   EXPECT_EQ(busy.read_answer(), "E");
 }
 
-TEST(HardCase, EngineListIsReloadedFaultyOnesAreIgnoredAndDrainsHonoured) {
-  const FilesFolder folder;
+TEST(HardCase, EngineListIsReloadedInvalidOnesAreIgnoredAndDrainsAreFollowed) {
+  const TemporaryFolder folder;
   test_engine::TestEngineSettings engine_settings;
   engine_settings.truth_log = folder.path("truth.jsonl");
   Engine first(engine_settings);
@@ -331,10 +332,10 @@
   std::this_thread::sleep_for(60ms);
   ASSERT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='c'*/"), "TDCZ");
 
-  // Nothing but its engine's drain holds a query back; then it is sent to the other engine.
+  // The draining state alone keeps queries from the first engine; they are sent to the second one.
   folder.replace_engine_list(engine_element(1, first->port(), "draining") +
                              engine_element(2, second->port(), "ready") + "</engines>");
-  // The draining engine's idle channels are closed.
+  // The idle channels of the draining engine are closed.
   ASSERT_TRUE(comes_true([&] { return manager.counts().channels_idle == 0; }));
 
   for (int i = 0; i < 5; ++i) ASSERT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='d'*/"), "TDCZ");
@@ -343,15 +344,15 @@
   for (const auto& event : events) EXPECT_EQ(event["engine"], "second");
 
   second.command("drain");
-  first.command("die-not");  // no such command: it is rejected, and nothing happens
+  first.command("die-not");  // an unknown command, which has no effect
   EXPECT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='e'*/"), "TDCZ");  // on the open channel
 
-  // A reload of faulty settings changes nothing.
+  // A reload of an invalid settings file changes nothing.
   folder.write("manager.xml", "<manager");
   manager.reload();
   EXPECT_EQ(client.execute("select 1 /*cost_ms='1'*/"), "TDCZ");
 
-  // Nor does one of settings that can't be read.
+  // Nor does a reload of a missing settings file.
   folder.remove("manager.xml");
   manager.reload();
   EXPECT_EQ(client.execute("select 1 /*cost_ms='1'*/"), "TDCZ");
@@ -371,7 +372,7 @@
     RawClient client(manager.port());
     for (int i = 0; i < 10; ++i) ASSERT_EQ(client.execute("select 1 /*sim_work_ms='0.1'*/"), "TDCZ");
     if (round % 3 == 0) {
-      client.send_query("select 1 /*sim_work_ms='60000'*/");  // and disconnects
+      client.send_query("select 1 /*sim_work_ms='60000'*/");  // the client disconnects while it runs
     }
     if (round == 5) {
       ASSERT_TRUE(manager.becomes_idle());
@@ -380,7 +381,8 @@
   }
 
   ASSERT_TRUE(manager.becomes_idle());
-  // Both ends of the engine's channels, eight at most, are in this process; leaks would add up to more.
+  // Both ends of the channels to the engine, eight at most, are in this process; descriptors that leak in
+  // each round would exceed the margin.
   EXPECT_TRUE(comes_true([&] { return open_descriptors() <= before + 20; }))
       << open_descriptors() << " " << before;
   EXPECT_LT(manager.counts().timers, 1000U);
--- a/tests/service/reload_retry_test.cpp
+++ b/tests/service/reload_retry_test.cpp
@@ -14,8 +14,8 @@
 
 constexpr auto retry_pause = 40ms;
 
-/// A host whose reloads fail until it is told otherwise.
-class FailingReloads {
+/// A host whose reloads succeed only while is_readable is true.
+class ReloadingHost {
  public:
   void reload() {
     attempts_.push_back(Clock::now());
@@ -30,7 +30,7 @@
     io.run_for(time);
   }
   [[nodiscard]] std::size_t attempts() const { return attempts_.size(); }
-  /// The shortest time between two attempts in a row, the first of which has this index.
+  /// The shortest time between two consecutive attempts, from the attempt with index `first` on.
   [[nodiscard]] Clock::duration shortest_pause_from(std::size_t first) const {
     Clock::duration shortest = Clock::duration::max();
     for (std::size_t i = first + 1; i < attempts_.size(); ++i)
@@ -46,9 +46,9 @@
   std::vector<Clock::time_point> attempts_;
 };
 
-// Guards against a second series of retries, which reads the file twice as often and gives up early.
-TEST(ReloadRetry, AReloadThatIsAskedForBetweenTwoRetriesBeginsNoSecondSeries) {
-  FailingReloads host;
+// Guards against two series of retries at once, which read the file twice as often and give up early.
+TEST(ReloadRetry, AReloadRequestedBetweenTwoRetriesBeginsNoSecondSeries) {
+  ReloadingHost host;
   host.reload();
   host.run_for(retry_pause / 2);
 
@@ -59,14 +59,14 @@
   EXPECT_GE(host.shortest_pause_from(1), retry_pause);
 }
 
-// Guards against a retry that goes on after another attempt has succeeded, and reads the file once more.
-TEST(ReloadRetry, ASuccessEndsARetryThatWaits) {
-  FailingReloads host;
+// Guards against a scheduled retry that still reads the file after another attempt has succeeded.
+TEST(ReloadRetry, ASuccessCancelsAScheduledRetry) {
+  ReloadingHost host;
   host.reload();
   host.is_readable = true;
   host.reload();
   host.is_readable = false;
-  host.reload();  // of a new series, the retry of which is the only one due
+  host.reload();  // begins a new series, whose retry is the only one scheduled
 
   host.is_readable = true;
   host.run_for(4 * retry_pause);
@@ -74,8 +74,8 @@
   EXPECT_EQ(host.attempts(), 4U);
 }
 
-TEST(ReloadRetry, GivesUpAfterAsManyRetriesAsAllowed) {
-  FailingReloads host;
+TEST(ReloadRetry, GivesUpAfterTheMaximumNumberOfRetries) {
+  ReloadingHost host;
   host.reload();
 
   host.run_for(30 * retry_pause);
--- a/tests/service/resume_monitor_test.cpp
+++ b/tests/service/resume_monitor_test.cpp
@@ -1,5 +1,5 @@
-/// Calls that take effect only where the process was not resumed since their facts were looked up. That they
-/// hold at the system call itself is tested on processes that are stopped there (tests/incidents).
+/// Guarded calls, which take effect only if the process was not resumed since the state that they depend on
+/// was read. A stop right before the system call is tested with separate processes (tests/incidents).
 #include "service/resume_monitor.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     for (const int end : ends_) ::close(end);
   }
   [[nodiscard]] int near_end() const { return ends_[0]; }
-  /// What arrives at the far end: bytes, "" at the end of input, or "nothing".
+  /// What the far end receives: bytes, "" at the end of input, or "nothing" if no input is pending.
   [[nodiscard]] std::string received() const {
     std::array<char, 64> buffer{};
     const IoResult result = receive(ends_[1], buffer);
@@ -44,7 +44,7 @@
   EXPECT_EQ(received(), "");
 }
 
-// Guards against calls on facts from before a stop.
+// Guards against calls that are based on state from before a stop.
 TEST_F(ConnectedSockets, GuardedCallsDoNothingAfterAResume) {
   const ResumeCount facts_as_of = ResumeMonitor::count();
   ::raise(SIGCONT);
--- a/tests/service/serve_process.hpp
+++ b/tests/service/serve_process.hpp
@@ -1,4 +1,5 @@
-/// The PostgreSQL service as a process of its own, for tests in which its system calls fail or stop it.
+/// The PostgreSQL service as a separate process, for tests in which its system calls fail or stop the
+/// process.
 #pragma once
 
 #include <signal.h>
@@ -14,10 +15,10 @@
 
 namespace paddlestand::service::test {
 
-/// Runs `paddlestand serve` with these settings until its end, when it is killed.
+/// Runs `paddlestand serve` with these settings, and kills it on destruction.
 class ServeProcess {
  public:
-  /// `call_faults`: rules of tests/faults/call_faults.cpp, for its system calls.
+  /// `call_faults`: faults of its system calls, as rules of tests/faults/call_faults.cpp.
   ServeProcess(const std::string& settings, const std::string& call_faults)
       : folder_(std::filesystem::temp_directory_path() /
                 ("paddlestand-serve-" + std::to_string(::getpid()))) {
@@ -40,9 +41,9 @@
   ServeProcess(const ServeProcess&) = delete;
   ServeProcess& operator=(const ServeProcess&) = delete;
 
-  /// Zero where it did not start.
+  /// The port that it listens on; zero if it did not start.
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  /// Whether it is stopped now.
+  /// Whether the process is currently stopped by a signal.
   [[nodiscard]] bool is_stopped() const { return paddlestand::test::is_stopped(process_.id()); }
   [[nodiscard]] std::string log() const {
     std::ifstream file(folder_ / "log");
--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -1,5 +1,5 @@
-/// A real manager and real test engines on loopback, in this process, each on a thread of its own; a raw
-/// client that sees every byte; shortages of the machine.
+/// A real manager and real test engines on loopback, each on its own thread of this process, and a client
+/// that sends and receives single messages.
 #pragma once
 
 #include <arpa/inet.h>
@@ -27,20 +27,22 @@
 using namespace std::chrono_literals;
 using namespace paddlestand::test;
 
-/// A test engine, to be commanded into its faults.
+/// A test engine on its own thread.
 class Engine : public Thread<test_engine::Server> {
  public:
   explicit Engine(test_engine::TestEngineSettings settings = {})
       : Thread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
+  /// Executes a command of the engine's control port, such as one that injects a fault, and returns its
+  /// reply.
   std::string command(const std::string& line) {
     return run([&](test_engine::Server& server) { return server.command(line); });
   }
 };
 
-/// Settings with a class for idempotent queries (lookup) and one for others (settle), and these engines.
-/// `more`: elements that stand before the engines.
+/// Settings with these engines, a class for idempotent queries (lookup) and one for non-idempotent ones
+/// (settle). `additional_elements` are inserted before the engines.
 inline std::string manager_settings(const std::vector<std::uint16_t>& engine_ports,
-                                    const std::string& more = {}) {
+                                    const std::string& additional_elements = {}) {
   std::string text =
       R"(<manager xmlns="urn:paddlestand:manager:1" name="m"><listen port="0" most-sessions="300"/>
     <engine-links most-per-engine="8" connect-time="300ms" probe-time="300ms" cancel-grace="300ms"/>
@@ -50,7 +52,7 @@
       <class name="settle" aim="5s" deadline="15s" late-worth="1" repeat="unsafe"/>
     </classes>
     <decisions/><log level="error"/>)" +
-      more + "<engines>";
+      additional_elements + "<engines>";
   int id = 0;
   for (const auto port : engine_ports) {
     ++id;
@@ -66,8 +68,8 @@
   return users;
 }
 
-/// A manager with these settings. `path`: where they would stand, for the files that they name and for
-/// reloads.
+/// A manager with these settings. `path`: the settings file that reloads read; paths in the settings are
+/// relative to its folder.
 class RunningManager : public Thread<PostgresServer> {
  public:
   explicit RunningManager(const std::string& settings, pg::Users users = trusted_users(),
@@ -102,7 +104,7 @@
       return 0;
     });
   }
-  /// Whether no query, attempt or buffered byte is left, now or in a while.
+  /// Waits until no query, attempt or buffered byte remains. Returns false if that takes too long.
   bool becomes_idle() {
     return comes_true([&] {
       const core::Counts now = counts();
@@ -151,7 +153,7 @@
     pg::put_query(bytes, text);
     send(bytes);
   }
-  /// The next message; nothing at the end of the connection, or when none arrives in time.
+  /// The next message; nothing at the end of the connection, or if none arrives in time.
   std::optional<Message> next_message(int timeout_ms = client_timeout_ms) {
     for (;;) {
       if (const auto frame = frames_.next()) return Message{frame->type, std::string(frame->body)};
@@ -166,7 +168,8 @@
       frames_.feed({buffer, static_cast<std::size_t>(received)});
     }
   }
-  /// The types of all messages up to ReadyForQuery, or the end. Remembers the last error's code and hint.
+  /// Returns the types of all messages up to ReadyForQuery or the end of the connection. Stores the code and
+  /// the hint of the last error.
   std::string read_answer() {
     std::string types;
     error_code_.clear();
@@ -191,7 +194,7 @@
     if (socket_ >= 0) ::close(socket_);
     socket_ = -1;
   }
-  /// Whether a message arrives within a short time though none should.
+  /// Whether another message arrives within a short time. For checks that none does.
   bool receives_more() { return next_message(150).has_value(); }
 
   [[nodiscard]] const std::string& error_code() const { return error_code_; }
@@ -222,9 +225,10 @@
   std::string cancel_key_;
 };
 
-/// Sends a CancelRequest on a connection of its own, and waits for its end.
+/// Sends a CancelRequest on a separate connection, and waits until the server closes it.
 inline void send_cancel(std::uint16_t port, const std::string& cancel_key) {
   RawClient connection(port, Login::skip);
+  // The length of the message, and the code of a CancelRequest.
   const std::string header("\0\0\0\x10\x04\xd2\x16\x2e", 8);
   connection.send(header + cancel_key);
   connection.next_message();
--- a/tests/service/stopped_service_test.cpp
+++ b/tests/service/stopped_service_test.cpp
@@ -1,16 +1,17 @@
-/// Incident: the PostgreSQL service is stopped between the decision to send a query and the system call that
-/// sends it, or a part of it (docs/incidents/038-stopped-before-a-send.md).
+/// Incident: a query begins although its client has closed the connection, because the PostgreSQL service was
+/// stopped between the decision to send the query and the system call that sends it or a part of it
+/// (docs/incidents/038-stopped-before-a-send.md).
 #include "failure_fixtures.hpp"
 #include "serve_process.hpp"
 
 namespace paddlestand::service::test {
 namespace {
 
-constexpr auto longest_test = 60s;
-constexpr int wanted_interruptions = 5;
+constexpr auto max_test_duration = 60s;
+constexpr int required_interruptions = 5;
 
-/// A service that is stopped for 250 ms at some of its calls, before one engine. Parameter: rules of
-/// call_faults.
+/// A service with one engine that is stopped for 250 ms at some of its system calls. The parameter contains
+/// the rules of call_faults.
 class StoppedService : public ::testing::TestWithParam<const char*> {
  protected:
   StoppedService()
@@ -19,17 +20,17 @@
         service_(manager_settings({engine_->port()}), GetParam()) {}
   ~StoppedService() override { ::unlink(log_.c_str()); }
 
-  /// Sends a query and closes the connection where the service is stopped before the engine has the query.
-  /// False: it was not stopped then.
+  /// Sends a query, and closes the connection while the service is stopped before the engine has received the
+  /// query. Returns false if the service was not stopped then.
   bool close_during_stop(const std::string& id) {
     RawClient client(service_.port());
     client.send_query("select 1 /*class='settle',sim_work_ms='20',sim_id='" + id + "'*/");
     const bool was_stopped = comes_true([&] { return service_.is_stopped() || has_begun(id); });
     if (!was_stopped || !service_.is_stopped()) return false;
-    std::this_thread::sleep_for(20ms);  // what was sent before the stop
-    const bool has_begun_before = has_begun(id);
+    std::this_thread::sleep_for(20ms);  // until what was sent before the stop has arrived
+    const bool has_begun_before_close = has_begun(id);
     client.close();
-    return !has_begun_before && service_.is_stopped();
+    return !has_begun_before_close && service_.is_stopped();
   }
   bool has_begun(const std::string& id) const { return count_events(events_of(log_, id), "received") > 0; }
   ServeProcess& service() { return service_; }
@@ -46,19 +47,19 @@
   ServeProcess service_;
 };
 
-// Guards against a query that begins after its client closed during the stop.
-TEST_P(StoppedService, BeginsNoQueryOfAClientThatHasClosed) {
+// Guards against a query that begins after its client closed the connection during the stop.
+TEST_P(StoppedService, BeginsNoQueryAfterItsClientHasClosedTheConnection) {
   ASSERT_NE(service().port(), 0);
-  const auto end = std::chrono::steady_clock::now() + longest_test;
+  const auto end = std::chrono::steady_clock::now() + max_test_duration;
   int interruptions = 0;
-  for (int i = 0; std::chrono::steady_clock::now() < end && interruptions < wanted_interruptions; ++i) {
+  for (int i = 0; std::chrono::steady_clock::now() < end && interruptions < required_interruptions; ++i) {
     const std::string id = "query" + std::to_string(i);
     if (!close_during_stop(id)) continue;
     ++interruptions;
     std::this_thread::sleep_for(500ms);
     EXPECT_FALSE(has_begun(id)) << service().log();
   }
-  EXPECT_EQ(interruptions, wanted_interruptions);
+  EXPECT_EQ(interruptions, required_interruptions);
 }
 
 INSTANTIATE_TEST_SUITE_P(At, StoppedService,
