--- a/tests/clients/libpq_test.cpp
+++ b/tests/clients/libpq_test.cpp
@@ -1,4 +1,5 @@
-/// An independent client of the protocol, libpq, through a real manager to a test engine: what drivers do.
+/// Tests with libpq, an independent implementation of the protocol, as the client of a real manager with one
+/// test engine.
 #include <gtest/gtest.h>
 #include <libpq-fe.h>
 
@@ -13,7 +14,7 @@
 using Connection = std::unique_ptr<PGconn, void (*)(PGconn*)>;
 using Result = std::unique_ptr<PGresult, void (*)(PGresult*)>;
 
-/// A manager's settings with one engine on this port of the local host.
+/// The settings of a manager with one engine on this port of the local host.
 config::ManagerConfig make_config(std::uint16_t engine_port) {
   const std::string text = R"(<manager xmlns="urn:paddlestand:manager:1" name="m"><listen port="0"/>
             <kinds><kind name="std" cores="8" memory-mb="16384"/></kinds>
@@ -23,7 +24,7 @@
   return std::get<config::ManagerConfig>(config::parse_manager_config(text, "test"));
 }
 
-/// A manager before one test engine.
+/// A manager with one test engine.
 class Libpq : public ::testing::Test {
  protected:
   Libpq()
@@ -31,7 +32,7 @@
           return std::make_unique<PostgresServer>(io, make_config(engine_->port()), "", trusted_users(), "");
         }) {}
 
-  /// Connects to the manager. `parameters`: of the connection string, beside the usual ones.
+  /// Connects to the manager. `parameters`: additional parameters of the connection string.
   Connection connect(const std::string& parameters = "") {
     const auto port = manager_.run([](PostgresServer& server) { return server.port(); });
     const std::string connection_string =
@@ -52,20 +53,20 @@
   ASSERT_EQ(PQresultStatus(rows.get()), PGRES_TUPLES_OK) << PQerrorMessage(connection.get());
   EXPECT_EQ(PQntuples(rows.get()), 3);
 
-  const Result none(PQexec(connection.get(), ""), PQclear);
-  EXPECT_EQ(PQresultStatus(none.get()), PGRES_EMPTY_QUERY);
+  const Result empty(PQexec(connection.get(), ""), PQclear);
+  EXPECT_EQ(PQresultStatus(empty.get()), PGRES_EMPTY_QUERY);
 
   const Result shown(PQexec(connection.get(), "show statement_timeout"), PQclear);
   EXPECT_STREQ(PQgetvalue(shown.get(), 0, 0), "10s");
 
-  const Result refused(PQexec(connection.get(), "begin"), PQclear);
-  EXPECT_STREQ(PQresultErrorField(refused.get(), PG_DIAG_SQLSTATE), "0A000");
+  const Result rejected(PQexec(connection.get(), "begin"), PQclear);
+  EXPECT_STREQ(PQresultErrorField(rejected.get(), PG_DIAG_SQLSTATE), "0A000");
 
-  const Result wrong(PQexec(connection.get(), "select 1 /*sim_error='42601'*/"), PQclear);
-  EXPECT_STREQ(PQresultErrorField(wrong.get(), PG_DIAG_SQLSTATE), "42601");
+  const Result failed(PQexec(connection.get(), "select 1 /*sim_error='42601'*/"), PQclear);
+  EXPECT_STREQ(PQresultErrorField(failed.get(), PG_DIAG_SQLSTATE), "42601");
 
-  const Result again(PQexec(connection.get(), "select 1"), PQclear);
-  EXPECT_EQ(PQresultStatus(again.get()), PGRES_TUPLES_OK);
+  const Result next(PQexec(connection.get(), "select 1"), PQclear);
+  EXPECT_EQ(PQresultStatus(next.get()), PGRES_TUPLES_OK);
 }
 
 TEST_F(Libpq, PreparesAndBindsParameters) {
@@ -116,8 +117,9 @@
   }));
 
   PGcancel* cancel = PQgetCancel(connection.get());
-  std::array<char, 256> problem{};
-  EXPECT_EQ(PQcancel(cancel, problem.data(), static_cast<int>(problem.size())), 1) << problem.data();
+  std::array<char, 256> error_message{};
+  EXPECT_EQ(PQcancel(cancel, error_message.data(), static_cast<int>(error_message.size())), 1)
+      << error_message.data();
   PQfreeCancel(cancel);
 
   const Result answer(PQgetResult(connection.get()), PQclear);
--- a/tests/clients/pg.test.mjs
+++ b/tests/clients/pg.test.mjs
@@ -1,4 +1,5 @@
-// The driver `pg`, from npm, through a manager to a test engine, both started here on ephemeral loopback ports.
+// Tests with the npm driver `pg` as the client of a manager with one test engine. Both are started here, on
+// ephemeral loopback ports.
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { existsSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -12,8 +13,8 @@
 const children = [];
 let port;
 
-// The port that a program writes to this file once it listens.
-async function portFrom(file) {
+// Waits until a program has written its port to this file, which it does once it listens, and returns the port.
+async function readPort(file) {
   for (let i = 0; i < 4000; ++i) {
     if (existsSync(file)) return Number(readFileSync(file, 'utf8').split(' ')[0]);
     await new Promise((resolve) => setTimeout(resolve, 5));
@@ -25,7 +26,7 @@
   children.push(spawn(join(programs, program), args, { stdio: 'ignore' }));
 }
 
-// A library that makes a share of its system calls fail for a moment (tests/faults/call_faults.cpp).
+// Starts a program with a library that makes a share of its system calls fail (tests/faults/call_faults.cpp).
 function startWithFaults(faults, program, ...args) {
   const env = { ...process.env, LD_PRELOAD: join(programs, '../tests/libcall_faults.so'), PADDLESTAND_FAULTS: faults };
   children.push(spawn(join(programs, program), args, { stdio: 'ignore', env }));
@@ -33,7 +34,7 @@
 
 before(async () => {
   start('paddlestand_test_engine', '--port-file', join(folder, 'engine'));
-  const enginePort = await portFrom(join(folder, 'engine'));
+  const enginePort = await readPort(join(folder, 'engine'));
   writeFileSync(
     join(folder, 'manager.xml'),
     `<manager xmlns="urn:paddlestand:manager:1" name="m"><listen port="0"/>
@@ -43,7 +44,7 @@
      </manager>`,
   );
   start('paddlestand', 'serve', '--config', join(folder, 'manager.xml'), '--port-file', join(folder, 'port'));
-  port = await portFrom(join(folder, 'port'));
+  port = await readPort(join(folder, 'port'));
 });
 
 after(() => {
@@ -93,9 +94,9 @@
   await client.end();
 });
 
-test('a rejection carries advice in its hint', async () => {
+test('a rejection has retry advice in its hint', async () => {
   const client = await connect();
-  // It can't be done before its deadline, and is rejected at once.
+  // The query can't end before its deadline, so it is rejected immediately.
   await assert.rejects(client.query("select 1 /*cost_ms='60000',deadline_ms='500'*/"), (error) => {
     assert.equal(error.code, '53400');
     assert.match(error.hint, /^retry_after_ms=\d+; repeat=harmless$/);
@@ -104,13 +105,13 @@
   await client.end();
 });
 
-test('every statement is answered while system calls of the manager fail for a moment', async () => {
+test('every statement is answered while system calls of the manager fail temporarily', async () => {
   const faults =
     'recv EINTR 0.01; recv ENOMEM 0.003; send EINTR 0.01; send ENOBUFS 0.01; accept ECONNABORTED 0.2;' +
     'accept EMFILE 0.1; connect EADDRNOTAVAIL 0.1; socket ENFILE 0.1; recv short 0.1; send short 0.1';
   const file = join(folder, 'port-with-faults');
   startWithFaults(faults, 'paddlestand', 'serve', '--config', join(folder, 'manager.xml'), '--port-file', file);
-  const faultyPort = await portFrom(file);
+  const faultyPort = await readPort(file);
   const clients = await Promise.all(Array.from({ length: 16 }, () => connect({ port: faultyPort })));
   const unexpected = [];
   await Promise.all(
@@ -121,7 +122,7 @@
           const { rows } = await client.query(`select $1 /*sim_rows='${1 + ((number + i) % 5)}'*/`, [i]);
           if (rows.length !== 1 + ((number + i) % 5)) unexpected.push(`${rows.length} rows`);
         } catch (error) {
-          // A rejection or a failure is an answer; the end of the connection is none.
+          // A rejection or a failure is an answer, the end of the connection is not.
           if (!error.code) unexpected.push(error.message);
         }
       }
--- a/tests/protocol/pg_backend_answer_test.cpp
+++ b/tests/protocol/pg_backend_answer_test.cpp
@@ -1,4 +1,5 @@
-/// Answers of engines: what is passed to the client, what is read for the manager, which errors mean what.
+/// Answers of engines: the messages passed to the client, the reports for the manager, and the classification
+/// of errors.
 #include <gtest/gtest.h>
 
 #include "pg_fixtures.hpp"
@@ -21,7 +22,7 @@
   EXPECT_EQ(end.ending, core::Ending::complete);
   EXPECT_EQ(end.work, 12500us);
   EXPECT_EQ(end.report.queries, 3);
-  EXPECT_EQ(types_of(engine.connection.answer()), "TDC");  // the engine's reports are not for the client
+  EXPECT_EQ(types_of(engine.connection.answer()), "TDC");  // without the engine's reports
 
   EXPECT_EQ(types_of(engine.connection.encode_query(simple_query("select 1"), 2, 100)), "Q");
 
@@ -39,7 +40,7 @@
   EXPECT_TRUE(std::holds_alternative<BackendAnswerEnd>(engine.events.back()));
 }
 
-TEST(BackendConnection, AnOpenTransactionMakesTheConnectionNotReusable) {
+TEST(BackendConnection, AConnectionWithAnOpenTransactionIsNotReusable) {
   LoggedInConnection engine;
   engine.connection.encode_query(simple_query("select 1"), 0, 0);
   std::string set_answer;
--- a/tests/protocol/pg_backend_limits_test.cpp
+++ b/tests/protocol/pg_backend_limits_test.cpp
@@ -1,4 +1,4 @@
-/// Engines that break the protocol or send messages too large to buffer.
+/// Engines that violate the protocol or send messages too large to buffer.
 #include <gtest/gtest.h>
 
 #include "pg_fixtures.hpp"
@@ -13,8 +13,8 @@
   put_ready(set_answer, 'I');
   std::string row;
   const std::string large_value(1U << 20U, 'x');
-  const std::string_view cell = large_value;
-  put_row(row, {&cell, 1});
+  const std::string_view field = large_value;
+  put_row(row, {&field, 1});
 
   engine.feed(set_answer + row.substr(0, 70000));
   EXPECT_TRUE(engine.connection.mid_message());
@@ -27,7 +27,7 @@
   EXPECT_TRUE(std::holds_alternative<BackendProtocolError>(engine.events.back()));
 }
 
-TEST(BackendConnection, ProtocolViolationsBreakIt) {
+TEST(BackendConnection, ProtocolViolationsAreReportedOnce) {
   for (const std::string& bytes :
        {std::string("Z\0\0\0\5T", 6), std::string("?\0\0\0\4", 5), std::string("D\0\0\0\1", 5)}) {
     LoggedInConnection engine;
--- a/tests/protocol/pg_extended_query_test.cpp
+++ b/tests/protocol/pg_extended_query_test.cpp
@@ -36,7 +36,7 @@
 
   request = session.next_request();
   ASSERT_TRUE(request);
-  EXPECT_EQ(types_of(request->query.bytes), "PBEBES");  // one Parse for both
+  EXPECT_EQ(types_of(request->query.bytes), "PBEBES");  // one Parse for both Bind messages
   EXPECT_EQ(request->query.parse_from_client, std::vector<bool>{false});
   EXPECT_EQ(request->text, "select $1");
 
@@ -83,7 +83,7 @@
   EXPECT_EQ(types_of(request->query.bytes), "PDS");
 
   session.frontend.request_failed(error("53400", "refused"));
-  EXPECT_EQ(types_of(session.extract_output()), "E");  // no ReadyForQuery before its Sync
+  EXPECT_EQ(types_of(session.extract_output()), "E");  // ReadyForQuery follows only after the Sync
 
   bytes.clear();
   append_bind(bytes, "");
--- a/tests/protocol/pg_fixtures.hpp
+++ b/tests/protocol/pg_fixtures.hpp
@@ -1,4 +1,4 @@
-/// Sessions and connections past their login, and messages for them.
+/// Sessions and connections after their login, and messages for them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 namespace paddlestand::pg::test {
 
-/// The types of complete messages.
+/// The types of the messages in `bytes`, which must be complete.
 inline std::string types_of(const std::string& bytes) {
   std::string types;
   FrameReader reader(1U << 20U);
@@ -27,7 +27,7 @@
   return types;
 }
 
-/// The SQLSTATE of the first error; empty where there is none.
+/// The SQLSTATE of the first error; empty if there is none.
 inline std::string error_code(const std::string& bytes) {
   FrameReader reader(1U << 20U);
   reader.feed(bytes);
@@ -52,7 +52,7 @@
   return message;
 }
 
-/// A frontend session that is logged in.
+/// A frontend session after its login.
 class LoggedInSession {
  public:
   explicit LoggedInSession(FrontendSettings settings = {})
@@ -69,7 +69,7 @@
     const auto* request = std::get_if<FrontendRequest>(&*event);
     return request == nullptr ? std::nullopt : std::optional(*request);
   }
-  /// What it has written since the last call.
+  /// The session's output since the last call.
   std::string extract_output() {
     std::string output;
     output.swap(frontend.out());
@@ -93,13 +93,13 @@
   return answer;
 }
 
-/// An engine's answer with one row, with its reports.
+/// An engine's answer with one row and the engine's reports.
 inline std::string engine_answer(const char* value, char transaction_status = 'I') {
   std::string answer;
   const Column column{"v", 25, -1};
   put_row_description(answer, {&column, 1});
-  const std::string_view cell = value;
-  put_row(answer, {&cell, 1});
+  const std::string_view field = value;
+  put_row(answer, {&field, 1});
   put_complete(answer, "SELECT 1");
   put_parameter(answer, "paddlestand.inflight", "3");
   put_parameter(answer, "paddlestand.work_ms", "12.5");
@@ -107,7 +107,7 @@
   return answer;
 }
 
-/// A connection that is logged in at an engine.
+/// A connection to an engine after its login.
 class LoggedInConnection {
  public:
   LoggedInConnection() {
--- a/tests/protocol/pg_frame_test.cpp
+++ b/tests/protocol/pg_frame_test.cpp
@@ -7,7 +7,7 @@
 namespace paddlestand::pg::test {
 namespace {
 
-TEST(FrameReader, ReadsByteByByteAndRejectsImpossibleLengthsBeforeBuffering) {
+TEST(FrameReader, ReadsByteByByteAndRejectsInvalidLengthsBeforeBuffering) {
   std::string bytes;
   put_query(bytes, "select 1");
   put_empty(bytes, 'S');
@@ -21,7 +21,7 @@
 
   EXPECT_EQ(types, "QS");
 
-  reader.feed({"Q\x40\0\0\0", 5});  // a gigabyte
+  reader.feed({"Q\x40\0\0\0", 5});  // a length of one gigabyte
   EXPECT_FALSE(reader.next());
   EXPECT_TRUE(reader.bad());
   EXPECT_NE(reader.problem().find("1073741824"), std::string::npos);
--- a/tests/protocol/pg_malformed_messages_test.cpp
+++ b/tests/protocol/pg_malformed_messages_test.cpp
@@ -1,4 +1,4 @@
-/// Malformed messages of clients.
+/// Malformed messages from clients.
 #include <gtest/gtest.h>
 
 #include "pg_fixtures.hpp"
@@ -21,7 +21,7 @@
   for (const char type : std::string("Q?p")) {
     LoggedInSession session;
     std::string bytes;
-    put_raw(bytes, type, "unended");
+    put_raw(bytes, type, "unterminated");
     session.frontend.feed(bytes);
 
     EXPECT_TRUE(std::holds_alternative<FrontendClosed>(*session.frontend.next())) << type;
--- a/tests/protocol/pg_scram_test.cpp
+++ b/tests/protocol/pg_scram_test.cpp
@@ -8,8 +8,9 @@
 
 TEST(Scram, VerifierOfRfc7677AuthenticatesItsPassword) {
   ScramClient client("pencil", "rOprNGfwEbeRWgbNEkqO");
-  // The vector names a user in client-first; PostgreSQL's clients leave it empty, and so does this one: the
-  // exchange is checked against itself, the verifier against a known one.
+  // The RFC's test vector has a user name in client-first-message, which PostgreSQL's clients leave empty. So
+  // only the verifier is compared with the vector, and the two sides of the exchange are checked against each
+  // other.
 
   const auto salt = from_base64("W22ZaJ0SNY7soEsUEjb6gQ==");
   const auto verifier = Verifier::of_password("pencil", *salt);
--- a/tests/protocol/pg_session_state_test.cpp
+++ b/tests/protocol/pg_session_state_test.cpp
@@ -1,10 +1,11 @@
-/// What a client's session is, and what rules see of it, after errors and resets.
+/// The state of a client's session after errors and RESET statements, and the parameters by which rules match
+/// the session.
 #include "pg_fixtures.hpp"
 
 namespace paddlestand::pg::test {
 namespace {
 
-/// Answers the session's next messages, up to one that needs an engine.
+/// The session's answers to messages that need no engine.
 std::string answers_to(LoggedInSession& session, const std::string& bytes) {
   session.frontend.feed(bytes);
   EXPECT_FALSE(session.frontend.next());
@@ -17,8 +18,8 @@
   return bytes;
 }
 
-// Guards against closing a session that is logged in as one whose login took too long.
-TEST(SessionState, IsStartedWhileMessagesAreSkippedToTheSync) {
+// Guards against the login timeout closing a session that has logged in.
+TEST(SessionState, IsStartedWhileMessagesAreSkippedUpToTheSync) {
   LoggedInSession session;
   std::string bytes;
   append_parse(bytes, "", "listen x");  // rejected: the rest of the batch is skipped
@@ -28,8 +29,8 @@
   EXPECT_TRUE(session.frontend.started());
 }
 
-// Guards against rules that see a name which the session has taken back.
-TEST(SessionState, ResetOfTheApplicationNameGoesBackToThatOfTheStartupMessage) {
+// Guards against rules that match an application name after the session has reset it.
+TEST(SessionState, ResetRestoresTheApplicationNameOfTheStartupMessage) {
   for (const char* reset : {"reset application_name", "reset all", "set application_name to default"}) {
     LoggedInSession session;
     ASSERT_EQ(session.frontend.application(), "psql");
@@ -42,8 +43,8 @@
   }
 }
 
-// Guards against a limit of the startup message that is lost by a RESET.
-TEST(SessionState, ResetOfTheStatementTimeoutGoesBackToThatOfTheStartupMessage) {
+// Guards against a RESET that removes the timeout of the startup message.
+TEST(SessionState, ResetRestoresTheStatementTimeoutOfTheStartupMessage) {
   LoggedInSession session;
   answers_to(session, query("set statement_timeout = '2s'; reset statement_timeout"));
   session.frontend.feed(query("select 1"));
--- a/tests/protocol/pg_simple_query_test.cpp
+++ b/tests/protocol/pg_simple_query_test.cpp
@@ -19,7 +19,7 @@
     ASSERT_TRUE(request);
     EXPECT_EQ(request->text, "select " + std::to_string(i));
     EXPECT_EQ(request->statement_timeout, 900ms);
-    EXPECT_FALSE(session.frontend.next());  // until it is answered
+    EXPECT_FALSE(session.frontend.next());  // one request is in flight
     session.frontend.request_done({});
   }
 
@@ -66,8 +66,8 @@
   const auto request = session.next_request();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->statement_timeout, 2s);
-  const std::map<std::string, std::string> wanted{{"datestyle", "iso, dmy"}, {"extra_float_digits", "3"}};
-  EXPECT_EQ(request->query.settings, wanted);
+  const std::map<std::string, std::string> expected{{"datestyle", "iso, dmy"}, {"extra_float_digits", "3"}};
+  EXPECT_EQ(request->query.settings, expected);
   const std::string out = session.extract_output();
   EXPECT_EQ(types_of(out), "CSCTDCZSCZSCZEZCZ");
   EXPECT_EQ(error_code(out), "0A000");
--- a/tests/protocol/sql_test.cpp
+++ b/tests/protocol/sql_test.cpp
@@ -7,7 +7,7 @@
 namespace paddlestand::sql {
 namespace {
 
-TEST(Scan, SplitsWhereStatementsEndAndNowhereElse) {
+TEST(Scan, SplitsOnlyAtTheEndsOfStatements) {
   const auto scanned =
       scan("select 'a;b', E'c\\';d', $x$;$x$, \"e;f\" -- ;\n; /* ; /* ; */ ; */ Insert into t; ;");
 
@@ -18,7 +18,7 @@
   EXPECT_EQ(scanned.comments[0], " ; /* ; */ ; ");
 }
 
-TEST(Scan, WhatIsUnendedEndsWithTheText) {
+TEST(Scan, UnterminatedLiteralsAndCommentsEndWithTheText) {
   for (const char* text :
        {"select 'abc", "select $$abc", "select \"abc", "select /* abc", "select E'\\", "$", "'"})
     EXPECT_LE(scan(text).statements.size(), 1U) << text;
@@ -26,7 +26,7 @@
   EXPECT_TRUE(scan(" ; -- x").statements.empty());
 }
 
-TEST(Tags, AreReadAsSqlCommenterWritesThem) {
+TEST(Tags, AreReadInTheFormatOfSqlcommenter) {
   const Tags tags = read_tags("class='look%20up', key='a\\'b',traceparent='00-1'");
 
   ASSERT_EQ(tags.size(), 3U);
@@ -34,7 +34,7 @@
 
   EXPECT_EQ(tags[1].second, "a'b");
   EXPECT_TRUE(read_tags("just a comment").empty());
-  EXPECT_TRUE(read_tags("class='unended").empty());
+  EXPECT_TRUE(read_tags("class='unterminated").empty());
   EXPECT_TRUE(read_tags("class=lookup").empty());
 }
 
