--- a/src/protocol/pg/backend_connection.hpp
+++ b/src/protocol/pg/backend_connection.hpp
@@ -20,10 +20,10 @@
 /// A complete query for an engine, which may be sent more than once.
 struct EngineQuery {
   std::string bytes;  ///< a Query message, or the messages of an extended batch, Sync included
-  std::vector<bool>
-      parse_from_client;  ///< for each Parse: whether the client sent it and receives its ParseComplete
-  std::map<std::string, std::string>
-      settings;  ///< the session's settings that differ from the engine's defaults
+  /// For each Parse: whether the client sent it and receives its ParseComplete.
+  std::vector<bool> parse_from_client;
+  /// The session's settings that differ from the engine's defaults.
+  std::map<std::string, std::string> settings;
 };
 
 struct BackendReady {};  ///< logged in
@@ -36,7 +36,7 @@
 struct BackendProtocolError {
   std::string what;
 };
-struct BackendAnswerPart {};  ///< answer() holds more bytes
+struct BackendAnswerPart {};  ///< more bytes were appended to answer()
 /// ReadyForQuery: the answer is complete.
 struct BackendAnswerEnd {
   core::Ending ending{};
@@ -45,7 +45,7 @@
   std::optional<double> memory_mb;
   LoadReport report;
   std::uint32_t client_parses_completed = 0;  ///< number of completed Parse messages that the client sent
-  std::string error_code;  ///< SQLSTATE of the engine's error; empty where there was none
+  std::string error_code;  ///< SQLSTATE of the engine's error; empty if there was none
 };
 /// A progress report of the engine about the query in flight.
 struct BackendProgress {
@@ -55,7 +55,7 @@
 using BackendEvent = std::variant<BackendReady, BackendLoginRejected, BackendProtocolError, BackendAnswerPart,
                                   BackendAnswerEnd, BackendProgress>;
 
-/// The login of a connection. With an empty password none is sent.
+/// The login of a connection. An empty password is not sent.
 struct EngineLogin {
   std::string user, database, application, password;
   std::string nonce;  ///< for SCRAM: random, used once
@@ -81,7 +81,7 @@
   void feed(std::string_view bytes, std::vector<BackendEvent>& events, std::string& reply);
 
   [[nodiscard]] CancelKey key() const { return key_; }
-  /// Bytes of the answer for the client; the host moves or clears them.
+  /// The buffered part of the answer for the client, which the host moves from or clears.
   std::string& answer() { return answer_; }
   /// Whether the last message of the answer so far is incomplete.
   [[nodiscard]] bool mid_message() const { return pass_through_bytes_ > 0; }
@@ -119,13 +119,13 @@
   std::optional<ScramClient> scram_;
   CancelKey key_;
   std::string buffer_;  // an incomplete message
-  std::size_t pass_through_bytes_ = 0;  // remaining bytes of a large message
+  std::size_t pass_through_bytes_ = 0;  // remaining bytes of a message that is passed on in parts
   std::string answer_;
   std::map<std::string, std::string> settings_;  // set on this connection at the engine
   std::vector<bool> parse_from_client_;  // for the query in flight
   std::size_t parses_completed_ = 0;
-  bool has_rows_ = false;  // in the answer so far
-  BackendAnswerEnd end_;  // of the answer so far
+  bool has_rows_ = false;  // whether the answer so far contains rows
+  BackendAnswerEnd end_;  // values reported in the answer so far
 };
 
 /// The statements that change an engine's settings from `current` to `target`: SET for settings that differ,
--- a/src/protocol/pg/frame.hpp
+++ b/src/protocol/pg/frame.hpp
@@ -24,7 +24,8 @@
 
   void feed(std::string_view bytes);
 
-  /// The next message, if it has arrived completely. Returns nothing once bad() is true.
+  /// The next message, if it has arrived completely. Returns nothing once bad() is true. `typed`: whether the
+  /// message has a type.
   std::optional<Frame> next(bool typed = true);
 
   /// Whether a message had an invalid length, which problem() describes.
--- a/src/protocol/pg/messages.hpp
+++ b/src/protocol/pg/messages.hpp
@@ -14,9 +14,9 @@
 
 namespace paddlestand::pg {
 
-/// The codes at the beginning of messages without a type.
-inline constexpr std::uint32_t protocol_3 =
-    196608;  ///< StartupMessage: the version, major in the high 16 bits
+/// The codes at the beginning of messages without a type. That of StartupMessage is the protocol version,
+/// with the major version in the high 16 bits.
+inline constexpr std::uint32_t protocol_3 = 196608;  ///< StartupMessage
 inline constexpr std::uint32_t cancel_code = 80877102;  ///< CancelRequest
 inline constexpr std::uint32_t ssl_code = 80877103;  ///< SSLRequest
 inline constexpr std::uint32_t gss_code = 80877104;  ///< GSSENCRequest
@@ -90,7 +90,7 @@
 struct StartupMessage {
   std::uint32_t code{};  ///< the requested version, or one of the codes above
   std::vector<std::pair<std::string, std::string>> parameters;
-  CancelKey key;  ///< of a CancelRequest
+  CancelKey key;  ///< only in a CancelRequest
 };
 std::optional<StartupMessage> parse_startup(std::string_view body);
 
--- a/src/protocol/pg/scram.hpp
+++ b/src/protocol/pg/scram.hpp
@@ -34,10 +34,10 @@
   ScramServer(Verifier verifier, bool known, std::string nonce)
       : verifier_(std::move(verifier)), is_user_known_(known), nonce_(std::move(nonce)) {}
 
-  /// Answers client-first-message with server-first-message; nothing if it is malformed.
+  /// Returns the server-first-message that answers `client_first`; nothing if that is malformed.
   std::optional<std::string> first(std::string_view client_first);
-  /// Answers client-final-message with server-final-message; nothing if it is malformed or the proof is
-  /// wrong.
+  /// Returns the server-final-message that answers `client_final`; nothing if that is malformed or its proof
+  /// is wrong.
   std::optional<std::string> last(std::string_view client_final);
 
  private:
@@ -58,7 +58,7 @@
 
   /// The client-first-message. Its user name is empty: PostgreSQL uses that of the startup message.
   [[nodiscard]] std::string first() const;
-  /// Answers server-first-message with client-final-message; nothing if it is malformed.
+  /// Returns the client-final-message that answers `server_first`; nothing if that is malformed.
   std::optional<std::string> last(std::string_view server_first);
   /// Whether the server-final-message proves that the server has the verifier.
   [[nodiscard]] bool verify(std::string_view server_final) const;
--- a/src/protocol/pg/sqlstate.hpp
+++ b/src/protocol/pg/sqlstate.hpp
@@ -14,8 +14,8 @@
 namespace paddlestand::pg {
 
 /// How an answer with this error ended. An error that the statement itself causes (its syntax, data or
-/// privileges) is a complete answer, because any engine would return it. `rows_before`: rows preceded the
-/// error.
+/// privileges) is a complete answer, because any engine would return it. `rows_before`: whether rows
+/// preceded the error.
 core::Ending ending_of_error(std::string_view sqlstate, bool rows_before);
 
 /// Whether an error during the login, before any query, means that the engine has no capacity.
--- a/src/protocol/pg/statements.hpp
+++ b/src/protocol/pg/statements.hpp
@@ -12,7 +12,8 @@
 
 namespace paddlestand::pg {
 
-/// The error for the first unsupported statement, or for too many statements in one text.
+/// Returns the error for the first unsupported statement, or for too many statements in one text; nothing if
+/// all can be handled.
 std::optional<Fields> find_unsupported(const sql::Scanned& scanned);
 
 /// Whether there is at least one statement and all are SET, SHOW or RESET, which the manager answers itself.
@@ -22,7 +23,7 @@
 /// The error for a request that mixes SET, SHOW or RESET with other statements.
 Fields mixed_statements_error();
 
-/// A run-time parameter, some of which are read-only.
+/// A run-time parameter that the manager knows. Some can only be read.
 struct Parameter {
   std::string_view name;  ///< as reported to clients
   std::string_view default_value;
--- a/src/service/client_session.hpp
+++ b/src/service/client_session.hpp
@@ -84,14 +84,14 @@
   pg::CancelKey key_;
   pg::FrontendSession frontend_;
   pg::EngineQuery query_;
-  std::string output_;  // queued behind writing_
-  std::string writing_;
+  std::string output_;  // to be written after writing_
+  std::string writing_;  // the output being written
   std::size_t written_ = 0;  // bytes of writing_ already written
   std::size_t undelivered_bytes_ = 0;  // bytes of engines' answers that are not written yet
   State state_ = State::open;
   bool is_opened_ = false;  // SessionOpened was dispatched to the core
   bool is_processing_ = false;  // inside process_input()
-  bool is_writing_ = false;  // write_pending() is running or waiting for the socket
+  bool is_writing_ = false;  // output is being written, or waits for the socket
   bool is_output_full_ = false;  // the next request waits until the client reads its output
   bool is_mid_message_ = false;  // the last delivered message is incomplete
   bool is_server_shutting_down_ = false;
--- a/src/service/engine_channel.hpp
+++ b/src/service/engine_channel.hpp
@@ -62,7 +62,7 @@
   tcp::endpoint endpoint_;
   StreamSocket socket_;
   pg::BackendConnection protocol_;
-  std::string writing_;
+  std::string writing_;  // the query being written
   std::size_t written_ = 0;  // bytes of writing_ already written
   ResumeCount facts_as_of_{};  // resume count when the decision to send the query was made
   std::size_t grant_updates_in_flight_ = 0;
--- a/src/service/graceful_closer.hpp
+++ b/src/service/graceful_closer.hpp
@@ -1,4 +1,4 @@
-/// Closes connections whose last message the client has yet to read.
+/// Closes connections without losing the last message, which the client may not have read yet.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -21,8 +21,8 @@
   /// while the maximum number of connections is lingering.
   void close(StreamSocket socket);
 
-  /// Whether another connection may be rejected with an error message. During a flood of connections, those
-  /// beyond the bound are closed without one.
+  /// Whether another connection may be rejected with an error message. The number of such rejections at a
+  /// time is bounded; further connections are closed without a message.
   [[nodiscard]] bool can_reject() const;
   /// Sends an ErrorResponse to a client that gets no session, and closes its connection.
   void reject(StreamSocket socket, const pg::Fields& error);
--- a/src/service/listener.cpp
+++ b/src/service/listener.cpp
@@ -62,8 +62,8 @@
     return false;
   }
   unregistered_ = -1;
-  const Duration waited = failing_since_ ? steady_now() - *failing_since_ : Duration{};
-  on_connection_(std::move(connection), waited);
+  const Duration accept_delay = failing_since_ ? steady_now() - *failing_since_ : Duration{};
+  on_connection_(std::move(connection), accept_delay);
   return true;
 }
 
--- a/src/service/listener.hpp
+++ b/src/service/listener.hpp
@@ -16,8 +16,9 @@
 class Listener {
  public:
   using tcp = boost::asio::ip::tcp;
-  /// `waited`: how long the connection may have been queued because accept failed; zero if it did not fail.
-  using OnConnection = std::function<void(tcp::socket, Duration waited)>;
+  /// `accept_delay`: how long the connection may have been queued because accept failed; zero if it did not
+  /// fail.
+  using OnConnection = std::function<void(tcp::socket, Duration accept_delay)>;
   using OnError = std::function<void(const std::string&)>;
   /// Returns how far the event loop is currently behind.
   using EventLoopLag = std::function<Duration()>;
@@ -38,7 +39,7 @@
 
  private:
   struct Batch {
-    IoStatus status{};  ///< of the last accept; progress: the limit was reached, more may be queued
+    IoStatus status{};  ///< of the last accept; `progress` if the limit was reached and more may be queued
     int accepted = 0;
   };
   /// Accepts queued connections up to a limit per turn.
--- a/src/service/resume_monitor.hpp
+++ b/src/service/resume_monitor.hpp
@@ -35,7 +35,7 @@
 };
 
 /// Like send(), but sends nothing and returns IoStatus::outdated if the process was resumed since
-/// `facts_as_of`. May be used by one thread of the process.
+/// `facts_as_of`. Only one thread of the process may use it.
 IoResult send_unless_resumed(int socket, std::string_view bytes, ResumeCount facts_as_of);
 
 enum class GuardedShutdown : std::uint8_t {
--- a/src/service/signals.hpp
+++ b/src/service/signals.hpp
@@ -15,8 +15,8 @@
 
   struct Received {
     bool terminate = false;  ///< SIGTERM or SIGINT
-    std::uint32_t interrupts =
-        0;  ///< number of SIGINTs since the start: a second Ctrl-C requests an immediate stop
+    /// The number of SIGINTs since the start: a second Ctrl-C requests an immediate stop.
+    std::uint32_t interrupts = 0;
     bool reload = false;  ///< SIGHUP
   };
   /// Returns the signals received since the last call. Only one host per process may call it.
--- a/src/service/socket_calls.hpp
+++ b/src/service/socket_calls.hpp
@@ -25,7 +25,7 @@
   retry_later,  ///< nothing was transferred, and waiting for readiness would not help: retry later
   end_of_input,  ///< receive: the peer shut down its sending side
   outdated,  ///< nothing was sent, because the process was stopped and resumed (resume_monitor.hpp)
-  ended  ///< the connection is broken; `error` says how
+  ended  ///< the connection is broken, with the reason in `error`
 };
 
 enum class GuardedShutdown : std::uint8_t;
@@ -50,7 +50,7 @@
 /// Whether this result of shut_down_sending() means that the connection is broken.
 bool is_broken_by_shutdown(int error_number);
 /// The number of written bytes that have not been sent to the peer, because it does not read; zero if the
-/// system can't tell.
+/// system doesn't report it.
 std::size_t unsent_bytes(int socket);
 /// Sets TCP_NODELAY, so that small writes are sent immediately. Retried a few times; a failure costs only
 /// latency.
@@ -67,7 +67,8 @@
 
 /// Why a connection could not be made.
 struct ConnectFailure {
-  core::CallVerdict verdict{};  ///< retry_now, retry_later: a transient local error; refused: by the peer
+  /// `retry_now` and `retry_later`: a transient local error; `refused`: the peer refused the connection.
+  core::CallVerdict verdict{};
   boost::system::error_code error;
 };
 
@@ -115,7 +116,7 @@
 /// Connects, and retries after transient local errors until shortly before `limit`, the time on the steady
 /// clock at which the core attributes the failure to the peer. When `given_up` returns true the socket is
 /// closed, and the returned failure is meaningless. `on_failure` is called after each failed attempt;
-/// `again`: another attempt follows.
+/// `again`: whether another attempt follows.
 boost::asio::awaitable<std::optional<ConnectFailure>> connect_before(
     StreamSocket& socket, boost::asio::ip::tcp::endpoint to, TimePoint limit, std::function<bool()> given_up,
     std::function<void(const ConnectFailure&, bool again)> on_failure);
