--- a/tests/faults/action_schedule.hpp
+++ b/tests/faults/action_schedule.hpp
@@ -1,4 +1,4 @@
-/// Actions of a fault run that wait for their time.
+/// The schedule of the actions of a fault run.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 
 namespace paddlestand::faults {
 
-/// Runs actions in the order of their times, actions of one time in the order in which they were added. An
-/// action may add further ones. Single-threaded.
+/// Runs actions in the order of their times; actions with equal times run in the order in which they were
+/// added. An action may schedule further actions. Single-threaded.
 class ActionSchedule {
  public:
   using Action = std::function<void()>;
 
-  /// Runs `action` at `time`, on the monotonic clock.
+  /// Schedules `action` at `time` on the monotonic clock.
   void at(std::int64_t time, Action action) { actions_.emplace(time, std::move(action)); }
-  /// Runs `action` once `delay` has passed, in nanoseconds.
+  /// Schedules `action` to run `delay` nanoseconds from now.
   void after(std::int64_t delay, Action action) { at(monotonic_now() + delay, std::move(action)); }
 
-  /// Runs every action whose time has come.
+  /// Runs every action that is due.
   void run_due() {
     while (!actions_.empty() && actions_.begin()->first <= monotonic_now()) {
       const Action action = std::move(actions_.begin()->second);
@@ -29,7 +29,7 @@
       action();
     }
   }
-  /// Drops what has not run yet.
+  /// Discards all pending actions.
   void clear() { actions_.clear(); }
 
  private:
--- a/tests/faults/child_process.hpp
+++ b/tests/faults/child_process.hpp
@@ -1,4 +1,4 @@
-/// Child processes of a fault run.
+/// Helpers for the child processes of a fault run.
 #pragma once
 
 #include <boost/process.hpp>
@@ -6,7 +6,7 @@
 
 namespace paddlestand::faults {
 
-/// Waits until `process` has ended, for at most `limit` nanoseconds. False: it still runs.
+/// Waits at most `limit` nanoseconds for `process` to exit. Returns false if it is still running.
 bool ends_within(boost::process::child& process, std::int64_t limit);
 
 }  // namespace paddlestand::faults
--- a/tests/faults/client_commands.cpp
+++ b/tests/faults/client_commands.cpp
@@ -5,8 +5,8 @@
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::string_view stop_connecting_prefix = "shun ";
-constexpr std::string_view resume_connecting_prefix = "use ";
+constexpr std::string_view stop_connecting_prefix = "stop-connecting ";
+constexpr std::string_view resume_connecting_prefix = "resume-connecting ";
 constexpr std::string_view finish_line = "finish";
 
 std::uint32_t manager_in(const std::string& line, std::string_view prefix) {
--- a/tests/faults/client_processes.hpp
+++ b/tests/faults/client_processes.hpp
@@ -15,11 +15,11 @@
  public:
   explicit ClientProcesses(RunContext& run) : run_(run) {}
 
-  /// Starts as many as the profile asks for, each with connections to all managers.
+  /// Starts the number of processes that the profile specifies, each with connections to all managers.
   void start_all(const std::vector<Endpoint>& managers);
-  /// Sends a command to all that have been started.
+  /// Sends a command to all processes.
   void send(const ClientCommand& command);
-  /// Lets all finish what is open. What still runs after a while is terminated.
+  /// Asks all processes to finish their open requests, and terminates those that run for too long.
   void finish();
 
  private:
--- a/tests/faults/client_protocol.cpp
+++ b/tests/faults/client_protocol.cpp
@@ -17,7 +17,7 @@
   return text.data();
 }
 
-/// Requests with an idempotency key each have an entity of their own.
+/// Each request with an idempotency key has an entity of its own.
 std::string key_members(const ClientRequest& request) {
   if (request.request_class != RequestClass::load) return "";
   const std::uint64_t trace = request.trace;
--- a/tests/faults/client_protocol.hpp
+++ b/tests/faults/client_protocol.hpp
@@ -1,4 +1,4 @@
-/// What the clients of a fault run write and read: lines of the platform's JSON-RPC.
+/// The client side of the platform's line-based JSON-RPC protocol in a fault run.
 #pragma once
 
 #include <boost/json.hpp>
@@ -19,26 +19,26 @@
 const char* name_of(RequestClass request_class);
 
 struct ClientRequest {
-  std::int64_t id = 0;  // on its connection
+  std::int64_t id = 0;  // unique on its connection
   std::uint64_t trace = 0;
   RequestClass request_class{};
   std::int64_t client_timeout_ms = 0;
 };
 
-/// The request's line, with its end.
+/// The request as a line, with its terminator.
 std::string request_line(const ClientRequest& request);
-/// The line of a cancel, with its end.
+/// The cancel as a line, with its terminator.
 std::string cancel_line(std::uint64_t trace);
 
-/// A line of a manager that answers a request.
+/// An answer from a manager.
 class ClientAnswer {
  public:
-  /// Nothing for a line that is no JSON object with an id.
+  /// Returns nothing if the line is not a JSON object with an integer id.
   static std::optional<ClientAnswer> parse(std::string_view line);
 
   [[nodiscard]] std::int64_t id() const { return object_.at("id").as_int64(); }
-  /// One of answer_detail, for the request of this trace id. Throws where neither a result nor an error is in
-  /// the answer.
+  /// How the request with this trace id was answered: a value of answer_detail. Throws if the answer has
+  /// neither a result nor an error.
   [[nodiscard]] const char* detail(std::uint64_t trace) const;
 
  private:
--- a/tests/faults/clients.cpp
+++ b/tests/faults/clients.cpp
@@ -1,5 +1,5 @@
-/// The clients of a fault run: they send requests at random times, cancel, disconnect and write slowly, and
-/// record how each request ends.
+/// A client process of a fault run. Its clients send requests at random times, cancel, disconnect and write
+/// slowly, and record the outcome of each request.
 #include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -23,19 +23,19 @@
 namespace paddlestand::faults {
 namespace {
 
-// After the client's timeout: 0.5 s that a manager may take, and what this machine adds.
+// Time allowed after the client timeout: 0.5 s for the manager, 0.2 s for delays of the machine.
 constexpr std::int64_t answer_slack = 700 * millisecond;
-constexpr std::int64_t idle_timeout = 3800 * millisecond;  // clients close connections that are idle for 4 s
-constexpr std::int64_t idle_connection_period = 100 * millisecond;  // a new one to each manager
-constexpr std::size_t max_open_requests = 8;  // on a connection
-constexpr int burst_requests = 4;  // written at once
+constexpr std::int64_t idle_timeout = 3800 * millisecond;  // clients close connections after 4 s of idle time
+constexpr std::int64_t idle_connection_period = 100 * millisecond;  // one new connection to each manager
+constexpr std::size_t max_open_requests = 8;  // per connection
+constexpr int burst_requests = 4;  // written together
 
-// Probabilities, for each request or for each time that requests are written.
+// Probabilities per request, or per write of one or more requests.
 constexpr double cancel_probability = 0.04;
 constexpr double disconnect_probability = 0.02;
 constexpr double slow_write_probability = 0.02;
 constexpr double burst_probability = 0.05;
-constexpr double reuse_probability = 0.9;  // of a connection with capacity, where a new one is allowed
+constexpr double reuse_probability = 0.9;  // of reusing a connection with capacity when a new one is allowed
 constexpr double short_timeout_probability = 0.1;
 constexpr double unsafe_above = 0.85;
 constexpr double keyed_above = 0.7;
@@ -50,11 +50,11 @@
         next_request_(monotonic_now()) {}
 
   int run() {
-    while (!finishing_ || anything_open()) {
+    while (!finishing_ || has_open_requests()) {
       open_idle_connections();
       send_due_requests();
       poll_input();
-      act_on_time();
+      run_timers();
     }
     return 0;
   }
@@ -62,7 +62,7 @@
  private:
   using ConnectionIterator = std::list<ClientConnection>::iterator;
 
-  // ---- Random draws; their order is part of the plan of a seed. ----
+  // ---- Random draws. Their order must not change, or a seed would produce a different run. ----
 
   double draw_uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   bool misbehaves_with(double probability) { return options_.misbehaves && draw_uniform() < probability; }
@@ -97,7 +97,7 @@
 
   // ---- Connections ----
 
-  [[nodiscard]] bool anything_open() const {
+  [[nodiscard]] bool has_open_requests() const {
     return std::any_of(connections_.begin(), connections_.end(),
                        [](const ClientConnection& connection) { return !connection.is_idle(); });
   }
@@ -118,14 +118,14 @@
                          });
   }
 
-  /// A new connection; or null.
+  /// Opens a connection. Returns null on failure.
   ClientConnection* connect(std::uint32_t manager) {
     auto connected = Connection::connect(options_.managers[manager]);
     if (!connected) return nullptr;
     return &connections_.emplace_back(std::move(*connected), manager);
   }
 
-  /// A connection with capacity, a new one, or null.
+  /// Returns an existing connection with capacity or a new one; null if neither is available.
   ClientConnection* connection_for_request(std::uint32_t manager) {
     std::vector<ClientConnection*> usable;
     std::uint32_t all = 0;
@@ -144,7 +144,7 @@
     return !connection.delayed_write && connection.open.size() < max_open_requests && !has_ended(connection);
   }
 
-  /// A client writes nothing to a connection whose end has arrived.
+  /// Whether the manager has closed the connection: clients send no requests on it.
   static bool has_ended(const ClientConnection& connection) {
     char next{};
     return ::recv(connection.connection.socket(), &next, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
@@ -218,7 +218,7 @@
     record_sent(connection, delayed.request_id);
   }
 
-  /// From here on the request is the manager's: its time counts from the last byte.
+  /// Called once the request has been written completely. Its client timeout starts with the last byte.
   void record_sent(ClientConnection& connection, std::int64_t id) {
     RunEvent event = connection.unsent.extract(id).mapped();
     event.at = monotonic_now();
@@ -229,7 +229,7 @@
     connection.last_used = event.at;
   }
 
-  /// Records what ends a request, or its connection.
+  /// Records how a request or its connection ended.
   void record(EventKind kind, const ClientConnection& connection, const OpenRequest& open, std::int64_t at,
               const char* detail = "") {
     log_.write({.kind = kind,
@@ -309,7 +309,7 @@
     record(EventKind::answered, connection, open, monotonic_now(), answer->detail(open.trace));
   }
 
-  /// Closes a connection, and records `kind` for each request that is open on it.
+  /// Closes a connection and records `kind` for each request that was sent on it and is open.
   void close(ConnectionIterator connection, EventKind kind) {
     const char* how = connection->connection.was_reset() ? end_detail::reset : end_detail::shutdown;
     connection->connection.close();
@@ -321,29 +321,30 @@
     connections_.erase(connection);
   }
 
-  // ---- What happens by time ----
+  // ---- Timers ----
 
-  void act_on_time() {
+  void run_timers() {
     const std::int64_t now = monotonic_now();
     for (auto connection = connections_.begin(); connection != connections_.end();) {
       const auto next = std::next(connection);
       if (connection->delayed_write && now >= connection->delayed_write->at) write_delayed(*connection);
-      cancel_due(*connection, now);
-      give_up_unanswered(*connection, now);
-      if (is_to_disconnect(*connection, now)) close(connection, EventKind::disconnected);
+      send_due_cancels(*connection, now);
+      expire_unanswered(*connection, now);
+      if (should_disconnect(*connection, now)) close(connection, EventKind::disconnected);
       connection = next;
     }
   }
 
-  [[nodiscard]] bool is_to_disconnect(const ClientConnection& connection, std::int64_t now) const {
+  [[nodiscard]] bool should_disconnect(const ClientConnection& connection, std::int64_t now) const {
     if (connection.stays_idle && finishing_) return true;
     if (connection.disconnect_at && now >= *connection.disconnect_at && !connection.delayed_write)
       return true;
     return connection.is_idle() && !connection.stays_idle && now - connection.last_used > idle_timeout;
   }
 
-  /// A cancel waits for the rest of a message that is being written: inside it, it would spoil both.
-  void cancel_due(ClientConnection& connection, std::int64_t now) {
+  /// Sends the cancels that are due. A cancel waits for a delayed write, since it would corrupt the message
+  /// if it were written in the middle of it.
+  void send_due_cancels(ClientConnection& connection, std::int64_t now) {
     if (connection.delayed_write) return;
     for (auto& [id, open] : connection.open) {
       if (!open.cancel_at || now < *open.cancel_at || open.sent == 0 || open.cancelled) continue;
@@ -353,7 +354,7 @@
     }
   }
 
-  void give_up_unanswered(ClientConnection& connection, std::int64_t now) {
+  void expire_unanswered(ClientConnection& connection, std::int64_t now) {
     std::erase_if(connection.open, [&](const auto& entry) {
       const OpenRequest& open = entry.second;
       if (now < open.unanswered_at || open.sent == 0) return false;
@@ -365,11 +366,11 @@
   ClientOptions options_;
   EventWriter log_;
   std::mt19937_64 random_;
-  std::vector<bool> may_connect_;  // by manager
+  std::vector<bool> may_connect_;  // by manager number
   std::int64_t next_request_;
   std::int64_t next_idle_connections_ = 0;
   std::list<ClientConnection> connections_;
-  std::string commands_;  // read, not handled yet
+  std::string commands_;  // input that has not been handled yet
   bool finishing_ = false;
 };
 
--- a/tests/faults/discovery.cpp
+++ b/tests/faults/discovery.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::int64_t heartbeat_period = 1 * second;
-constexpr std::int64_t old_connection_lifetime = 1500 * millisecond;  // after a move
+constexpr std::int64_t old_connection_lifetime = 1500 * millisecond;  // after the service has moved
 constexpr int tick_ms = 10;
 
 const char* lifecycle_of(EngineState state) {
@@ -26,7 +26,7 @@
   }
 }
 
-/// An engine in the "known" member of a configuration.
+/// An engine as an entry of the "known" member of a configuration.
 std::string to_json(const discovery::Record& record) {
   constexpr std::int64_t ns_per_ms = 1'000'000;
   std::array<char, 16> instance_id{};
@@ -64,18 +64,18 @@
   served_ = next;
 }
 
-void Discovery::fall_silent() {
+void Discovery::stop_sending() {
   const std::lock_guard lock(mutex_);
-  for (Watch& watch : watches_) watch.silent = true;
+  for (Watch& watch : watches_) watch.sending_stopped = true;
 }
 
-void Discovery::change(const discovery::Record& engine) {
+void Discovery::publish(const discovery::Record& engine) {
   const std::lock_guard lock(mutex_);
   engines_[engine.entry.engine] = engine;
   events_.push_back({events_.size() + 1, false, {engine}});
 }
 
-std::string Discovery::known() const {
+std::string Discovery::known_engines() const {
   const std::lock_guard lock(mutex_);
   std::string engines;
   for (const auto& [id, record] : engines_) {
@@ -114,11 +114,11 @@
     return;
   }
   read_subscription(watch);
-  if (!watch.subscribed || watch.silent || watch.address != served_) return;
+  if (!watch.subscribed || watch.sending_stopped || watch.address != served_) return;
   send_events(watch, now);
 }
 
-/// A manager sends the number of the last event it knows, big-endian.
+/// Reads the subscription: the number of the last event that the manager knows, 8 bytes big-endian.
 void Discovery::read_subscription(Watch& watch) {
   constexpr std::size_t number_size = 8;
   if (watch.subscribed || watch.input.size() < number_size) return;
--- a/tests/faults/engine.cpp
+++ b/tests/faults/engine.cpp
@@ -1,5 +1,5 @@
-/// One engine of a fault run: it works on requests for some milliseconds, goes wrong at random, and records
-/// when attempts start and end by its own account.
+/// An engine process of a fault run. It takes some milliseconds per request, fails at random, and records
+/// when attempts start and end as it sees them.
 #include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -23,42 +23,43 @@
 using engine_frames::Frame;
 using engine_frames::Reply;
 
-// Probabilities at a fault scale of 1, for each answer.
+// Probabilities per answer at a fault scale of 1.
 constexpr double full_probability = 0.02;
 constexpr double error_probability = 0.02;
 constexpr double no_answer_probability = 0.01;
 constexpr double reset_probability = 0.01;
 constexpr double corrupt_probability = 0.005;
 constexpr double idle_close_probability = 0.02;
-// Probabilities at a late frame scale of 1: what the protocol lets an engine say about a request that has
-// ended for it.
-constexpr double over_probability = 0.02;
+// Probabilities at a late frame scale of 1, of frames that the protocol allows an engine to send for a
+// request that it has already ended.
+constexpr double expired_probability = 0.02;
 constexpr double duplicate_probability = 0.05;
 constexpr double late_answer_probability = 0.05;
 constexpr double unknown_page_probability = 0.1;
-// At any scale.
+// Independent of the scales.
 constexpr double paged_probability = 0.1;
 
 constexpr std::int64_t max_duplicate_delay_ms = 40;
 constexpr std::int64_t min_work_ms = 2;
 constexpr std::int64_t max_work_ms = 60;
 constexpr std::int64_t max_poll_ms = 50;
-constexpr unsigned no_reading_step_us = 5000;
+constexpr unsigned reading_pause_interval_us = 5000;
 
-/// A connection of a manager to this engine.
+/// A connection from a manager to this engine.
 struct Peer {
   explicit Peer(Connection accepted)
       : connection(std::move(accepted)), frames(engine_frames::Side::manager) {}
   Connection connection;
   engine_frames::FrameReader frames;
   std::uint32_t number = 0;
-  std::map<std::uint64_t, std::uint32_t> pages;  // that a manager may still request, by request
-  std::multiset<std::uint64_t> active;  // requests whose end has not been recorded
+  // Number of pages of each result from which the manager may still request pages, by trace id.
+  std::map<std::uint64_t, std::uint32_t> pages;
+  std::multiset<std::uint64_t> active;  // trace ids of attempts whose end has not been recorded
 };
 
 using PeerIterator = std::list<Peer>::iterator;
 
-/// A frame about a request that has ended.
+/// A frame for a request that has already ended.
 struct LateFrame {
   PeerIterator peer;
   Reply code{};
@@ -67,7 +68,7 @@
   std::string body;
 };
 
-/// An attempt that is worked on.
+/// An attempt in progress, whose answer is scheduled.
 struct PendingAnswer {
   PeerIterator peer;
   std::uint64_t trace{};
@@ -79,7 +80,9 @@
   return text.data();
 }
 
-bool is(const Frame& frame, Command command) { return frame.code == static_cast<std::uint8_t>(command); }
+bool has_code(const Frame& frame, Command command) {
+  return frame.code == static_cast<std::uint8_t>(command);
+}
 
 class Engine {
  public:
@@ -93,17 +96,17 @@
   [[noreturn]] void run() {
     for (;;) {
       if (options_.stops_reading_while_hanging && hangs()) {
-        skip_reading();
+        pause_reading();
       } else {
         poll_input();
       }
-      answer_due();
+      send_due_answers();
       send_late_frames();
     }
   }
 
  private:
-  // ---- Random draws; their order is part of the plan of a seed. ----
+  // ---- Random draws. Their order must not change, or a seed would produce a different run. ----
 
   bool draw_fault(double probability) { return draw_uniform() < probability * options_.fault_scale; }
   bool draw_late_frame(double probability) {
@@ -122,13 +125,13 @@
 
   // ---- Input ----
 
-  void skip_reading() {
-    if (!skipped_reading_) {
+  void pause_reading() {
+    if (!reading_paused_) {
       log_.write(
           {.kind = EventKind::engine_stopped_reading, .at = monotonic_now(), .subject = options_.number});
     }
-    skipped_reading_ = true;
-    ::usleep(no_reading_step_us);
+    reading_paused_ = true;
+    ::usleep(reading_pause_interval_us);
   }
 
   void poll_input() {
@@ -145,10 +148,10 @@
       const short events = polled[i + 1].revents;
       if (events != 0 && !serve(order[i], events)) drop(order[i]);
     }
-    skipped_reading_ = false;
+    reading_paused_ = false;
   }
 
-  /// Until the next answer or late frame is due.
+  /// The time until the next answer or late frame is due, at most max_poll_ms.
   [[nodiscard]] std::int64_t poll_timeout_ms() const {
     std::int64_t timeout_ms = max_poll_ms;
     const auto limit_to = [&](std::int64_t due) {
@@ -176,7 +179,7 @@
     peers_.erase(peer);
   }
 
-  /// False: the connection has ended, or its bytes are no frames.
+  /// Handles socket events. Returns false if the connection has ended or received malformed frames.
   bool serve(PeerIterator peer, short events) {
     if ((events & POLLOUT) != 0 && !peer->connection.flush()) return false;
     if ((events & (POLLIN | POLLHUP | POLLERR)) == 0) return true;
@@ -194,14 +197,15 @@
     return usable;
   }
 
-  /// A request that arrived with its cancel, or with its connection's end, was cancelled before it was read.
+  /// Whether a request was cancelled before the engine read it: its cancel or the end of its connection
+  /// arrived in the same read.
   static bool ended_before_read(const std::vector<Frame>& frames, std::size_t index, bool usable) {
     const Frame& frame = frames[index];
-    if (!is(frame, Command::request)) return false;
+    if (!has_code(frame, Command::request)) return false;
     if (!usable) return true;
     const auto after = frames.begin() + static_cast<std::ptrdiff_t>(index) + 1;
     return std::any_of(after, frames.end(), [&](const Frame& later) {
-      return later.id == frame.id && is(later, Command::cancel);
+      return later.id == frame.id && has_code(later, Command::cancel);
     });
   }
 
@@ -236,7 +240,7 @@
 
   void cancel_attempt(PeerIterator peer, std::uint64_t trace, std::int64_t received_at) {
     end_attempt(*peer, trace, received_at, attempt_detail::cancelled);
-    if (draw_late_frame(late_answer_probability)) return;  // the answer is sent all the same
+    if (draw_late_frame(late_answer_probability)) return;  // the answer is sent despite the cancel
     std::erase_if(pending_answers_, [&](const auto& entry) {
       return entry.second.peer == peer && entry.second.trace == trace;
     });
@@ -249,8 +253,8 @@
     event.at = received_at;
     event.trace = frame.id;
     event.subject = options_.number;
-    // What was not read for long arrived at an unknown time: no grant can be judged by it.
-    event.value = skipped_reading_ ? 0 : engine_frames::parse_count(granted_ms).value_or(0);
+    // After a pause in reading the arrival time is unknown, so the granted time cannot be checked: record 0.
+    event.value = reading_paused_ ? 0 : engine_frames::parse_count(granted_ms).value_or(0);
     event.detail = engine_frames::field(frame.fields, "kind").value_or("?");
     event.port = peer->number;
     log_.write(event);
@@ -259,7 +263,7 @@
     pending_answers_.emplace(monotonic_now() + work, PendingAnswer{peer, frame.id});
   }
 
-  /// By this engine's account; a request without an active attempt has ended before.
+  /// Records the end of an attempt as this engine sees it. Does nothing if the attempt has already ended.
   void end_attempt(Peer& peer, std::uint64_t trace, std::int64_t at, const char* how) {
     const auto found = peer.active.find(trace);
     if (found == peer.active.end()) return;
@@ -279,10 +283,10 @@
     engine_frames::put_frame(bytes, engine_frames::Side::engine, static_cast<std::uint8_t>(code), id, fields,
                              body);
     peer.connection.queue(bytes);
-    peer.connection.flush();  // its end is found by the next poll
+    peer.connection.flush();  // the next poll detects a connection that has ended
   }
 
-  /// The final answer, and perhaps a duplicate some time after it.
+  /// Sends the final answer and, at random, schedules a duplicate.
   void finish_attempt(PeerIterator peer, Reply code, std::uint64_t trace, const std::string& fields = "",
                       const std::string& body = "") {
     end_attempt(*peer, trace, monotonic_now(), attempt_detail::answered);
@@ -300,7 +304,7 @@
     }
   }
 
-  void answer_due() {
+  void send_due_answers() {
     if (hangs()) return;
     while (!pending_answers_.empty() && pending_answers_.begin()->first <= monotonic_now()) {
       const PendingAnswer pending = pending_answers_.begin()->second;
@@ -312,7 +316,7 @@
   void answer(const PendingAnswer& pending) {
     if (draw_fault(full_probability)) {
       reject(pending, Reply::full);
-    } else if (draw_late_frame(over_probability)) {
+    } else if (draw_late_frame(expired_probability)) {
       reject(pending, Reply::expired);
     } else if (draw_fault(error_probability)) {
       answer_error(pending);
@@ -337,7 +341,7 @@
     finish_attempt(pending.peer, code, pending.trace);
   }
 
-  /// The attempt fails, and perhaps its result is sent all the same.
+  /// Answers with an error and, at random, schedules a result after it.
   void answer_error(const PendingAnswer& pending) {
     finish_attempt(pending.peer, Reply::error, pending.trace);
     if (!draw_late_frame(late_answer_probability)) return;
@@ -345,7 +349,8 @@
                                                     "parts=1,work=5,peak=10", page_of(pending.trace, 0)});
   }
 
-  /// The result, of one page or more; perhaps the connection is closed behind it, if nothing else is pending.
+  /// Answers with a result of one or more pages. At random closes the connection afterwards if no other
+  /// answer is pending.
   void answer_result(const PendingAnswer& pending) {
     constexpr std::uint32_t many_pages = 3;
     const bool paged = draw_uniform() < paged_probability;
@@ -368,11 +373,11 @@
   int listener_;
   std::int64_t began_;
   std::list<Peer> peers_;
-  std::multimap<std::int64_t, PendingAnswer> pending_answers_;  // by the time at which they are due
-  std::multimap<std::int64_t, LateFrame> late_frames_;  // by the time at which they are due
-  // Starts at a number that differs from those of the engine's earlier processes.
+  std::multimap<std::int64_t, PendingAnswer> pending_answers_;  // by due time
+  std::multimap<std::int64_t, LateFrame> late_frames_;  // by due time
+  // Starts at a value that depends on the process id, so that numbers differ between processes of one engine.
   std::uint32_t last_peer_ = (static_cast<std::uint32_t>(::getpid()) & 0x7fffU) << 16U;
-  bool skipped_reading_ = false;
+  bool reading_paused_ = false;
 };
 
 }  // namespace
--- a/tests/faults/engine_processes.cpp
+++ b/tests/faults/engine_processes.cpp
@@ -12,10 +12,11 @@
 
 constexpr EngineId first_engine = 100;
 constexpr std::int64_t kill_limit = 1 * second;
-constexpr std::int64_t publish_delay = 100 * millisecond;  // of a further engine
+constexpr std::int64_t publish_delay =
+    100 * millisecond;  // between the start of an added engine and its publication
 constexpr double max_restart_delay_s = 0.3;
 constexpr double max_removal_delay_s = 0.2;
-constexpr double max_return_delay_s = 0.3;  // after the removal
+constexpr double max_return_delay_s = 0.3;  // after the removal is published
 
 discovery::Record ready_record(std::uint32_t index) {
   const Endpoint address = engine_address(index);
@@ -44,10 +45,10 @@
 }
 
 void EngineProcesses::start_all() {
-  constexpr std::uint32_t hanging_share = 4;  // one of so many
+  constexpr std::uint32_t hanging_share = 4;  // one in this number of engines hangs
   std::vector<discovery::Record> records;
   for (std::uint32_t i = 0; i < run_.profile.engines; ++i) {
-    // Drawn for every engine, so that the further draws do not depend on who hangs.
+    // Drawn for every engine, whether it hangs or not, so that later draws do not shift.
     const double hang_from_s = run_.random.between(2, run_.options.seconds / 2);
     HangWindow hang;
     if (run_.profile.engines_hang && i % hanging_share == 0) {
@@ -63,8 +64,9 @@
 
 void EngineProcesses::restart(std::uint32_t index) {
   auto process = std::next(processes_.begin(), index);
-  // From here on none of its attempts counts as active, whenever the ends of its connections are seen.
-  run_.journal.write(
+  // After this event none of its attempts counts as active, no matter when managers detect the lost
+  // connections.
+  run_.event_log.write(
       {.kind = EventKind::engine_killed, .at = monotonic_now(), .subject = first_engine + index});
   ::kill(process->id(), SIGKILL);
   ends_within(*process, kill_limit);
@@ -79,20 +81,20 @@
   auto removed = ready_record(index);
   removed.entry.state = EngineState::removed;
   const std::int64_t removal_delay = from_seconds(run_.random.between(0, max_removal_delay_s));
-  run_.schedule.after(removal_delay, [this, removed] { discovery_->change(removed); });
+  run_.schedule.after(removal_delay, [this, removed] { discovery_->publish(removed); });
 
   auto returned = ready_record(index);
   returned.entry.started = wall_clock_now();
   const bool at_once = run_.random.below(2) == 0;
   const std::int64_t return_delay = at_once ? 0 : from_seconds(run_.random.between(0, max_return_delay_s));
-  run_.schedule.after(removal_delay + return_delay, [this, returned] { discovery_->change(returned); });
+  run_.schedule.after(removal_delay + return_delay, [this, returned] { discovery_->publish(returned); });
 }
 
 void EngineProcesses::drain(std::uint32_t index) {
   auto record = ready_record(index);
   record.entry.state = EngineState::draining;
-  discovery_->change(record);
-  run_.journal.write(
+  discovery_->publish(record);
+  run_.event_log.write(
       {.kind = EventKind::engine_draining, .at = monotonic_now(), .subject = first_engine + index});
 }
 
@@ -100,7 +102,7 @@
   start(index, HangWindow{});
   auto record = ready_record(index);
   record.entry.started = wall_clock_now();
-  run_.schedule.after(publish_delay, [this, record] { discovery_->change(record); });
+  run_.schedule.after(publish_delay, [this, record] { discovery_->publish(record); });
 }
 
 void EngineProcesses::terminate_all() {
--- a/tests/faults/engine_processes.hpp
+++ b/tests/faults/engine_processes.hpp
@@ -1,4 +1,4 @@
-/// The engine processes of a fault run, and the discovery service that lists them.
+/// The engine processes of a fault run and the discovery service that publishes them.
 #pragma once
 
 #include <boost/process.hpp>
@@ -14,14 +14,14 @@
  public:
   explicit EngineProcesses(RunContext& run) : run_(run) {}
 
-  /// Starts the profile's engines, then discovery with all of them in its list.
+  /// Starts the engines of the profile, then the discovery service with all of them in its list.
   void start_all();
-  /// Kills an engine's process and starts another one under its id and at its address. Discovery publishes
-  /// the removal and the new process later, apart or at once.
+  /// Kills an engine and starts a new process with the same id and address. Discovery publishes the removal
+  /// and the new process afterwards, together or one after the other.
   void restart(std::uint32_t index);
-  /// Drains an engine, from now on.
+  /// Publishes an engine as draining.
   void drain(std::uint32_t index);
-  /// Starts a further engine, which discovery publishes soon after.
+  /// Starts an additional engine, which discovery publishes after a short delay.
   void add(std::uint32_t index);
   void terminate_all();
 
@@ -29,7 +29,7 @@
   [[nodiscard]] Discovery& discovery() { return *discovery_; }
 
  private:
-  /// Seconds since the engine's start in which it answers nothing; equal: never.
+  /// The window in which an engine answers nothing, in seconds since its start; empty if both are equal.
   struct HangWindow {
     double from_s = 0;
     double until_s = 0;
--- a/tests/faults/event_log.cpp
+++ b/tests/faults/event_log.cpp
@@ -7,7 +7,7 @@
 namespace paddlestand::faults {
 
 EventWriter::EventWriter(const std::string& path) : file_(std::fopen(path.c_str(), "a")) {
-  if (file_ == nullptr) throw std::runtime_error(path + ": can't be written");
+  if (file_ == nullptr) throw std::runtime_error(path + ": cannot be opened for writing");
 }
 
 EventWriter::~EventWriter() { std::fclose(file_); }
--- a/tests/faults/event_log.hpp
+++ b/tests/faults/event_log.hpp
@@ -1,5 +1,5 @@
-/// What the processes of a fault run write down, one event a line, on one clock for all of them; and how it
-/// is read back for the verdict.
+/// The event log that each process of a fault run writes, one event per line, with times of the monotonic
+/// clock that all processes share. The verdict is based on these events.
 #pragma once
 
 #include <cstdint>
@@ -9,34 +9,34 @@
 
 namespace paddlestand::faults {
 
-/// Written as a number: the order is the file's format.
+/// Stored as a number: the order of the enumerators is part of the file format.
 enum class EventKind : std::uint8_t {
-  request_sent,  // by a client: the request is written completely
+  request_sent,  // by a client, once the request has been written completely
   answered,  // to a client; `detail`: see answer_detail
-  cancelled,  // by a client: its cancel is written completely
-  disconnected,  // by a client: it closed its connection while the request was open
+  cancelled,  // by a client, once the cancel has been written completely
+  disconnected,  // by a client that closed its connection while the request was open
   connection_ended,  // by the manager, while the request was open; `detail`: see end_detail
-  unanswered,  // long after the client's timeout
-  attempt_started,  // at an engine: the request was received completely
-  attempt_rejected,  // by an engine, before it ran
+  unanswered,  // no answer by the client timeout plus a slack
+  attempt_started,  // at an engine, once the request has been received completely
+  attempt_rejected,  // by an engine, before the attempt ran
   attempt_ended,  // at an engine; `detail`: see attempt_detail
   manager_crashed,  // killed without notice
-  manager_killed,  // as announced by SIGTERM
-  engine_killed,  // an engine's process ended, and all of its active attempts with it
-  engine_stopped_reading,  // from here on, for some time
-  engine_draining,  // discovery publishes from here on that the engine drains
-  manager_exited,  // by itself; `value`: its exit code, or minus the signal
-  manager_not_ready,  // for too long after its start
-  connection_broken  // of a client, by a call fault; `value`: the client's port
+  manager_killed,  // by SIGKILL after SIGTERM and a delay
+  engine_killed,  // the engine's process was killed, which ends all of its active attempts
+  engine_stopped_reading,  // begins a period in which the engine reads nothing
+  engine_draining,  // discovery has published that the engine is draining
+  manager_exited,  // unexpectedly; `value`: its exit code, or the negative signal number
+  manager_not_ready,  // within the time limit after its start
+  connection_broken  // a client connection, by a call fault; `value`: the client's port
 };
 
 /// Values of RunEvent::detail: how a request was answered.
 namespace answer_detail {
 constexpr const char* served = "served";
-constexpr const char* wrong = "wrong";  // a result that no engine made for this request
+constexpr const char* wrong = "wrong";  // a result that does not match the request
 constexpr const char* rejected = "refused";
 constexpr const char* failed = "failed";
-constexpr const char* unknown_request = "unasked";  // no request of this number is open
+constexpr const char* unknown_request = "unasked";  // no request with this id is open
 }  // namespace answer_detail
 
 /// Values of RunEvent::detail: how a connection ended.
@@ -45,33 +45,31 @@
 constexpr const char* reset = "reset";
 }  // namespace end_detail
 
-/// Values of RunEvent::detail: how an attempt ended, by its engine's account.
+/// Values of RunEvent::detail: how an attempt ended, as its engine saw it.
 namespace attempt_detail {
 constexpr const char* answered = "answered";
 constexpr const char* cancelled = "cancelled";
-constexpr const char* closed = "closed";  // the end of its connection
+constexpr const char* closed = "closed";  // its connection ended
 }  // namespace attempt_detail
 
-/// One event. Which members are used depends on the kind.
+/// One event. The kind determines which members are used.
 struct RunEvent {
   EventKind kind{};
   std::int64_t at{};  // ns, on the monotonic clock
-  std::uint64_t trace{};  // the request's trace id; zero: none
-  std::uint32_t subject{};  // manager or engine
+  std::uint64_t trace{};  // trace id of the request; zero if there is none
+  std::uint32_t subject{};  // number of the manager or engine
   std::int64_t
       value{};  // request_sent: client timeout, ms; attempt_started: the time the engine was granted, ms
-  std::int64_t
-      began{};  // ns; request_sent: just before the first byte; what ends a request: when it was sent
-  std::uint32_t
-      port{};  // the client's, on the connection; of attempts: the number of the engine's connection
+  std::int64_t began{};  // ns; request_sent: just before the first byte; end of a request: when it was sent
+  std::uint32_t port{};  // the client's port; attempts: number of the connection to the engine
   bool first = false;  // request_sent: one of the first requests on its connection
-  std::string detail{};  // of attempts and request_sent also: the request class
+  std::string detail{};  // attempt_started and request_sent: the request class
 };
 
-/// Appends events to a file, each written out at once.
+/// Appends events to a file and flushes after each.
 class EventWriter {
  public:
-  /// Throws std::runtime_error where the file can't be written.
+  /// Throws std::runtime_error if the file cannot be opened.
   explicit EventWriter(const std::string& path);
   ~EventWriter();
   EventWriter(const EventWriter&) = delete;
@@ -82,7 +80,7 @@
   std::FILE* file_;
 };
 
-/// All events of a file; a line that was cut off by a kill is passed over.
+/// Reads all events of a file. Skips a line that is incomplete because its writer was killed.
 std::vector<RunEvent> read_events(const std::string& path);
 
 }  // namespace paddlestand::faults
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -1,5 +1,5 @@
-/// fault_runs: fault tests over real processes on loopback, with failing system calls, signals and
-/// misbehaving peers. `run` plays a profile; it starts `engine` and `clients` from this same program.
+/// fault_runs: fault injection tests with real processes on loopback, failing system calls, signals and
+/// misbehaving peers. `run` executes a profile and starts this program's subcommands `engine` and `clients`.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -39,7 +39,7 @@
 
 void add_engine_command(CLI::App& app, EngineCommand& command, int& exit_code) {
   EngineOptions& options = command.options;
-  auto* subcommand = app.add_subcommand("engine", "One engine (started by a run)");
+  auto* subcommand = app.add_subcommand("engine", "Run an engine (started by `run`)");
   subcommand->add_option("--listen", command.listen)->required();
   subcommand->add_option("--log", options.log)->required();
   subcommand->add_option("--number", options.number);
@@ -57,7 +57,7 @@
 
 void add_clients_command(CLI::App& app, ClientsCommand& command, int& exit_code) {
   ClientOptions& options = command.options;
-  auto* subcommand = app.add_subcommand("clients", "Some clients (started by a run)");
+  auto* subcommand = app.add_subcommand("clients", "Run some clients (started by `run`)");
   subcommand->add_option("--managers", command.managers)->delimiter(',')->required();
   subcommand->add_option("--log", options.log)->required();
   subcommand->add_option("--number", options.number);
@@ -75,14 +75,17 @@
 void add_run_command(CLI::App& app, RunCommand& command, const char* self, int& exit_code) {
   RunOptions& options = command.options;
   options.self = self;
-  auto* subcommand = app.add_subcommand("run", "Runs a profile, once for each seed");
+  auto* subcommand = app.add_subcommand("run", "Run a profile, once for each seed");
   subcommand->add_option("profile", options.profile)->required();
-  subcommand->add_option("--programs", options.programs, "Where `paddlestand` is")->required();
-  subcommand->add_option("--faults", options.fault_library, "The library to preload")->required();
-  subcommand->add_option("--seed", options.seed, "The first seed");
-  subcommand->add_option("--seeds", command.seeds, "How many");
+  subcommand->add_option("--programs", options.programs, "Directory of the `paddlestand` program")
+      ->required();
+  subcommand
+      ->add_option("--faults", options.fault_library, "Fault injection library to preload into managers")
+      ->required();
+  subcommand->add_option("--seed", options.seed, "First seed");
+  subcommand->add_option("--seeds", command.seeds, "Number of seeds");
   subcommand->add_option("--seconds", options.seconds);
-  subcommand->add_flag("--keep", options.keep_logs, "Keep the logs");
+  subcommand->add_flag("--keep", options.keep_logs, "Keep the logs of successful runs");
   subcommand->callback([&] { exit_code = run_all(command); });
 }
 
@@ -91,7 +94,7 @@
 int main(int argc, char** argv) {
   constexpr int usage_error = 2;
   ::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{"Fault runs over real processes"};
+  CLI::App app{"Fault injection tests with real processes"};
   app.require_subcommand(1);
   int exit_code = 0;
   EngineCommand engine;
--- a/tests/faults/manager_config.cpp
+++ b/tests/faults/manager_config.cpp
@@ -9,7 +9,7 @@
          ",\"gain\":1.0,\"late_value\":0.5,\"repeat\":\"" + repeat + "\"" + more + "}";
 }
 
-/// One class that is safe to retry, one with idempotency keys, one that must not run twice.
+/// One class that is safe to retry, one with idempotency keys, and one that must not run twice.
 std::string request_classes() {
   const std::string safe = request_class("lookup", "pure");
   const std::string keyed =
--- a/tests/faults/manager_config.hpp
+++ b/tests/faults/manager_config.hpp
@@ -9,20 +9,20 @@
 
 namespace paddlestand::faults {
 
-/// Of every request class.
+/// The deadline of every request class.
 constexpr std::int64_t longest_deadline = 1200 * millisecond;
 
-/// What differs between the managers of a run, and between two configurations of one.
+/// The values that differ between the managers of a run or between successive configurations of a manager.
 struct ManagerConfig {
   std::uint32_t number = 0;
   std::uint32_t manager_count = 1;
   std::uint64_t run_seed = 1;
   Endpoint listen;
   Endpoint discovery;
-  std::string known_engines;  // JSON, see Discovery::known()
+  std::string known_engines;  // JSON, see Discovery::known_engines()
 };
 
-/// The file's content, in the platform's format.
+/// The content of the configuration file, in the platform's format.
 std::string to_json(const ManagerConfig& config);
 
 }  // namespace paddlestand::faults
--- a/tests/faults/manager_processes.cpp
+++ b/tests/faults/manager_processes.cpp
@@ -17,13 +17,13 @@
 namespace bp = boost::process;
 
 constexpr std::int64_t kill_delay = longest_deadline + 700 * millisecond;  // after SIGTERM
-constexpr std::int64_t connect_period = 300 * millisecond;  // after SIGTERM: clients still connect
-constexpr std::int64_t restart_delay = 200 * millisecond;  // after a manager ended that should not have
+constexpr std::int64_t connect_period = 300 * millisecond;  // after SIGTERM: clients may still connect
+constexpr std::int64_t restart_delay = 200 * millisecond;  // after a manager exited unexpectedly
 constexpr std::int64_t ready_limit = 10'000 * millisecond;
 constexpr std::int64_t kill_limit = 1 * second;
-constexpr std::int64_t signal_handler_delay = 1 * second;  // after a start: before it, SIGHUP is too early
+constexpr std::int64_t signal_handler_delay = 1 * second;  // after a start, until SIGHUP can be handled
 
-/// Asks a manager for its health, as clients do.
+/// Whether a health check, as clients send it, reports the manager as ready.
 bool answers_ready(const Endpoint& manager) {
   constexpr int max_polls = 50;
   constexpr unsigned poll_interval_us = 2000;
@@ -95,10 +95,10 @@
   Manager& manager = managers_[number];
   std::error_code error;
   if (!manager.process.valid() || manager.process.running(error) || manager.terminated) return;
-  run_.journal.write({.kind = EventKind::manager_exited,
-                      .at = monotonic_now(),
-                      .subject = number,
-                      .value = manager.process.exit_code()});
+  run_.event_log.write({.kind = EventKind::manager_exited,
+                        .at = monotonic_now(),
+                        .subject = number,
+                        .value = manager.process.exit_code()});
   manager.terminated = true;
   run_.schedule.after(restart_delay, [this, number] { start(number); });
 }
@@ -110,7 +110,7 @@
     manager.ready = true;
     clients_.send({ClientCommand::Kind::resume_connecting, number});
   } else if (monotonic_now() > manager.started + ready_limit) {
-    run_.journal.write({.kind = EventKind::manager_not_ready, .at = monotonic_now(), .subject = number});
+    run_.event_log.write({.kind = EventKind::manager_not_ready, .at = monotonic_now(), .subject = number});
     manager.ready = true;
   }
 }
@@ -137,7 +137,7 @@
   });
   signal_during_shutdown(number);
   run_.schedule.after(kill_delay, [this, number] {
-    run_.journal.write({.kind = EventKind::manager_killed, .at = monotonic_now(), .subject = number});
+    run_.event_log.write({.kind = EventKind::manager_killed, .at = monotonic_now(), .subject = number});
     kill_and_restart(number);
   });
 }
@@ -155,12 +155,12 @@
 
 void ManagerProcesses::crash(std::uint32_t number) {
   if (managers_[number].terminated || !managers_[number].ready) return;
-  run_.journal.write({.kind = EventKind::manager_crashed, .at = monotonic_now(), .subject = number});
+  run_.event_log.write({.kind = EventKind::manager_crashed, .at = monotonic_now(), .subject = number});
   clients_.send({ClientCommand::Kind::stop_connecting, number});
   kill_and_restart(number);
 }
 
-/// The file is replaced as a whole, as the platform does it.
+/// Replaces the file atomically, as the platform does.
 void ManagerProcesses::write_configuration(std::uint32_t number) {
   const Manager& manager = managers_[number];
   const Discovery& discovery = engines_.discovery();
@@ -170,7 +170,7 @@
   config.run_seed = run_.options.seed;
   config.listen = manager.listen;
   config.discovery = discovery.address();
-  config.known_engines = discovery.known();
+  config.known_engines = discovery.known_engines();
   const std::string new_file = manager.config + ".new";
   std::ofstream(new_file) << to_json(config);
   std::filesystem::rename(new_file, manager.config);
@@ -184,7 +184,8 @@
 void ManagerProcesses::reload_all() {
   for (std::uint32_t i = 0; i < size(); ++i) {
     const Manager& manager = managers_[i];
-    // One that has just started has a new configuration as it is.
+    // A manager that has just started has read the new configuration already. SIGHUP is delayed until its
+    // handler is installed.
     const bool just_started = monotonic_now() < manager.started + signal_handler_delay;
     if (just_started || !manager.ready) {
       run_.schedule.after(signal_handler_delay, [this, i] { reload(i); });
@@ -217,7 +218,7 @@
   const bool ended = ends_within(process, 2 * kill_delay);
   const int exit_code = ended ? process.exit_code() : -SIGKILL;
   if (exit_code != 0) {
-    run_.journal.write(
+    run_.event_log.write(
         {.kind = EventKind::manager_exited, .at = monotonic_now(), .subject = number, .value = exit_code});
   }
   std::error_code ignored;
--- a/tests/faults/manager_processes.hpp
+++ b/tests/faults/manager_processes.hpp
@@ -1,4 +1,4 @@
-/// The manager processes under test in a fault run: their starts, signals, crashes and restarts.
+/// Starts, signals, crashes and restarts the manager processes under test in a fault run.
 #pragma once
 
 #include <boost/process.hpp>
@@ -11,41 +11,41 @@
 
 namespace paddlestand::faults {
 
-/// Where a manager wrote what the verdict reads.
+/// Paths of the files from which the verdict reads what a manager recorded.
 struct ManagerLogs {
-  std::string log;  // its own structured log
-  std::string broken_connections;  // by call_faults.cpp
+  std::string log;  // structured log of the manager
+  std::string broken_connections;  // log of call_faults.cpp
 };
 
-/// Starts managers and notifies the clients of whether they may connect to them.
+/// Controls the managers and notifies the clients whether they may connect to them.
 class ManagerProcesses {
  public:
   ManagerProcesses(RunContext& run, EngineProcesses& engines, ClientProcesses& clients)
       : run_(run), engines_(engines), clients_(clients) {}
 
   void start_all();
-  /// Whether each manager has been ready once since its start, or took too long and was recorded as such.
+  /// Whether each manager has become ready since its start, or was recorded as not ready in time.
   [[nodiscard]] bool all_ready() const;
-  /// To be called often: records and restarts managers that ended by themselves, and finds those that have
-  /// become ready.
+  /// Must be called often. Records and restarts managers that exited unexpectedly, and checks which managers
+  /// have become ready.
   void monitor();
 
-  /// A planned restart: SIGTERM, more signals while it shuts down, and SIGKILL as early as is allowed.
+  /// Planned restart: SIGTERM, further signals during shutdown, and SIGKILL at the earliest permitted time.
   void roll(std::uint32_t number);
-  /// A restart without notice.
+  /// Restart without notice.
   void crash(std::uint32_t number);
-  /// Gives all managers their configuration anew, with SIGHUP.
+  /// Rewrites the configuration of all managers and sends SIGHUP.
   void reload_all();
-  /// SIGSTOP, and SIGCONT a moment later.
+  /// Sends SIGSTOP, and SIGCONT a fraction of a second later.
   void pause(std::uint32_t number);
-  /// Resumes managers that are paused.
+  /// Resumes all paused managers.
   void resume_all();
-  /// Ends all managers with SIGTERM, and records those that do not end as they should.
+  /// Shuts all managers down with SIGTERM and records those that do not exit with code 0 in time.
   void shut_down_all();
 
   [[nodiscard]] std::uint32_t size() const { return static_cast<std::uint32_t>(managers_.size()); }
   [[nodiscard]] std::vector<Endpoint> addresses() const;
-  /// By the manager's number.
+  /// Indexed by manager number.
   [[nodiscard]] std::vector<ManagerLogs> logs() const;
 
  private:
@@ -56,7 +56,7 @@
     ManagerLogs logs;
     std::int64_t started = 0;
     bool ready = false;
-    bool terminated = false;  // an end is expected, or has been recorded
+    bool terminated = false;  // its exit is expected or has been recorded
   };
 
   [[nodiscard]] boost::process::environment environment_of(std::uint32_t number);
--- a/tests/faults/processes.hpp
+++ b/tests/faults/processes.hpp
@@ -1,4 +1,5 @@
-/// The processes of a fault run: engines and clients that misbehave by a seed, and the run that starts them.
+/// Entry points of the processes of a fault run: engines, clients, and the run that starts them. Engines and
+/// clients misbehave at random, determined by a seed.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +15,14 @@
   std::string log;  // path
   std::uint32_t number = 0;
   std::uint64_t seed = 1;
-  double fault_scale = 0;  // scales the chances of errors, resets, lost and corrupt answers
-  double late_frame_scale =
-      0;  // scales the chances of duplicates, frames after an end, pages no longer known
-  // Seconds since its start between which it answers nothing; equal: never.
+  double fault_scale = 0;  // scales the probabilities of errors, resets, lost and corrupt answers
+  double late_frame_scale = 0;  // scales the probabilities of duplicates, late frames and unknown pages
+  // The window in which it answers nothing, in seconds since its start; empty if both are equal.
   double hang_from_s = 0;
   double hang_until_s = 0;
   bool stops_reading_while_hanging = false;
 };
-/// One engine. Answers requests after some milliseconds of work. Never returns.
+/// Runs one engine, which answers requests after some milliseconds. Never returns.
 int run_engine(const EngineOptions& options);
 
 struct ClientOptions {
@@ -32,22 +32,23 @@
   std::uint64_t seed = 1;
   double requests_per_s = 50;
   std::uint32_t max_connections = 4;  // to each manager
-  std::uint32_t idle_connections = 0;  // further ones to each manager, which send nothing
+  std::uint32_t idle_connections = 0;  // additional connections to each manager that send nothing
   bool misbehaves = false;  // cancels, disconnects, writes slowly
 };
-/// Some clients in one process. Reads ClientCommand lines from standard input. Returns the exit code.
+/// Runs several clients in one process. Reads ClientCommand lines from standard input. Returns the exit code.
 int run_clients(const ClientOptions& options);
 
 struct RunOptions {
-  std::string programs;  // the folder of `paddlestand`
+  std::string programs;  // directory of the `paddlestand` program
   std::string fault_library;  // to preload into managers
-  std::string self;  // this program
+  std::string self;  // path of this program
   std::string profile;  // see profiles.hpp
   std::uint64_t seed = 1;
-  double seconds = 8;  // of faults; starts and shutdowns come on top
-  bool keep_logs = false;  // of a good run
+  double seconds = 8;  // duration of the fault injection, without startup and shutdown
+  bool keep_logs = false;  // also of a successful run
 };
-/// One run. Prints a line for each violation, and a summary. Returns the exit code, 0: no rule was broken.
+/// Executes one run. Prints its violations and a summary. Returns the exit code: 0 if no rule was violated
+/// and at least one request was served.
 int run_once(const RunOptions& options);
 
 }  // namespace paddlestand::faults
--- a/tests/faults/profiles.cpp
+++ b/tests/faults/profiles.cpp
@@ -6,7 +6,7 @@
 namespace paddlestand::faults {
 namespace {
 
-/// Nothing but failing calls, by `rules`.
+/// A profile whose only faults are failing system calls.
 Profile call_faults_only(const std::string& name, std::vector<std::string> rules) {
   Profile profile;
   profile.name = name;
@@ -14,7 +14,7 @@
   return profile;
 }
 
-/// About half of the faults of all calls, overlapping, with probabilities that differ from run to run.
+/// Rules for about half of the possible call faults, overlapping, with random probabilities.
 std::string mixed_rules(std::mt19937_64& random) {
   const auto uniform = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
   std::string rules;
@@ -73,7 +73,7 @@
   profile.managers_pause = with_probability(0.4);
   profile.engines_drain = with_probability(0.6);
   profile.engines_hang = with_probability(0.4);
-  profile.discovery_falls_silent = with_probability(0.4);
+  profile.discovery_stops_sending = with_probability(0.4);
   for (std::uint32_t i = 0; i < profile.managers; ++i)
     profile.call_fault_rules.push_back(mixed_rules(random));
   return profile;
@@ -109,7 +109,7 @@
   return profile;
 }
 
-/// Sockets that can't be watched: no memory, or the user's limit of watches is reached.
+/// epoll registration fails: out of memory, or the per-user limit of watches is reached.
 Profile watch(const std::string& name, std::mt19937_64&) {
   return call_faults_only(name, {"epoll_add ENOMEM 0.3", "epoll_add ENOSPC 0.3; epoll_add ENOSPC 1 3 3.3",
                                  "epoll_add ENOMEM 0.1; send short 0.3; recv short 0.3"});
@@ -143,7 +143,7 @@
   Profile profile = call_faults_only(name, {"", "recv short 0.3; send short 0.3", "send ENOBUFS 0.02"});
   profile.engine_fault_scale = 2;
   profile.late_frame_scale = 4;
-  profile.engines = 2;  // further attempts mostly go where the earlier ones went
+  profile.engines = 2;  // retries often go to the engine of an earlier attempt
   profile.clients_misbehave = true;
   profile.engines_hang = true;
   profile.hanging_engines_stop_reading = true;
@@ -158,9 +158,9 @@
   return profile;
 }
 
-/// Managers that are stopped just before calls that send, receive or end connections, and for a moment at any
-/// time. Few stops at the end of connections: a manager that is stopped again and again shortly before its
-/// kill has no time to answer.
+/// Managers are stopped just before calls that send, receive or shut down connections, and for short periods
+/// at random times. The probability at shutdown() is low: a manager that is stopped repeatedly just before
+/// its kill has no time left to answer.
 Profile interrupted(const std::string& name, std::mt19937_64&) {
   Profile profile = call_faults_only(
       name,
@@ -207,7 +207,7 @@
 Profile profile_named(const std::string& name, std::mt19937_64& random) {
   for (const NamedProfile& profile : profiles)
     if (name == profile.name) return profile.make(name, random);
-  throw std::runtime_error("unknown profile '" + name + "'; known are " + all_names());
+  throw std::runtime_error("unknown profile '" + name + "'; known profiles: " + all_names());
 }
 
 }  // namespace paddlestand::faults
--- a/tests/faults/random_draws.hpp
+++ b/tests/faults/random_draws.hpp
@@ -1,5 +1,5 @@
-/// The seeded random draws of a fault run. Their order is part of the plan: the same seed gives the same
-/// plan.
+/// The seeded random draws of a fault run. Equal seeds give equal runs only as long as the order of the draws
+/// does not change.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,20 @@
 
 namespace paddlestand::faults {
 
-/// One generator for everything that a run draws.
+/// The random generator that all parts of a run share.
 class RandomDraws {
  public:
   explicit RandomDraws(std::uint64_t seed) : generator_(seed) {}
 
-  /// A real number from `least` up to, but not including, `most`.
+  /// A real number in [least, most).
   double between(double least, double most) {
     return std::uniform_real_distribution<double>(least, most)(generator_);
   }
-  /// A whole number from 0 up to, but not including, `bound`, which is at least 1.
+  /// An integer in [0, bound). `bound` must be at least 1.
   std::size_t below(std::size_t bound) {
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(generator_);
   }
-  /// The generator itself, for callers with distributions of their own.
+  /// The underlying generator, for callers that use their own distributions.
   std::mt19937_64& generator() { return generator_; }
 
  private:
--- a/tests/faults/run.cpp
+++ b/tests/faults/run.cpp
@@ -1,5 +1,5 @@
-/// One fault run: starts its processes, schedules the profile's faults, and judges what the processes wrote
-/// down.
+/// Executes a fault run: starts its processes, schedules the faults of the profile, and checks the recorded
+/// events.
 #include <unistd.h>
 
 #include <algorithm>
@@ -18,12 +18,12 @@
 
 constexpr std::int64_t ready_limit = 10 * second;
 
-class Run {
+class FaultRun {
  public:
-  explicit Run(const RunOptions& options)
+  explicit FaultRun(const RunOptions& options)
       : run_(options), engines_(run_), clients_(run_), managers_(run_, engines_, clients_) {}
 
-  int play() {
+  int execute() {
     engines_.start_all();
     managers_.start_all();
     wait_until_ready();
@@ -31,7 +31,7 @@
     schedule_faults();
     loop_until(began_ + from_seconds(run_.options.seconds));
     finish();
-    return report(reach_verdict());
+    return report(evaluate());
   }
 
  private:
@@ -51,9 +51,9 @@
     }
   }
 
-  // ---- The plan of faults: what is drawn here, and in which order, makes the plan of a seed. ----
+  // ---- Fault schedule. The order of random draws must not change: it determines the run of a seed. ----
 
-  /// Schedules an action by seconds since all managers were ready.
+  /// Schedules an action. `seconds` counts from the time at which all managers were ready.
   void at(double seconds, ActionSchedule::Action action) {
     run_.schedule.at(began_ + from_seconds(seconds), std::move(action));
   }
@@ -67,7 +67,7 @@
     if (profile.managers_crash) schedule_crash();
     if (profile.configurations_reload) schedule_reloads();
     if (profile.managers_pause) schedule_pauses();
-    if (profile.discovery_falls_silent) schedule_discovery_silence();
+    if (profile.discovery_stops_sending) schedule_discovery_silence();
     if (profile.engines_drain) schedule_drains();
     if (profile.engines_restart) schedule_engine_restarts();
   }
@@ -99,10 +99,10 @@
   }
 
   void schedule_discovery_silence() {
-    at(between(1, duration_s() / 2), [this] { engines_.discovery().fall_silent(); });
+    at(between(1, duration_s() / 2), [this] { engines_.discovery().stop_sending(); });
   }
 
-  /// Some engines drain, and a new one takes the place of each.
+  /// Drains a quarter of the engines and starts a replacement for each.
   void schedule_drains() {
     constexpr double replacement_delay_s = 0.3;
     const std::uint32_t engines = run_.profile.engines;
@@ -121,7 +121,7 @@
 
   [[nodiscard]] double duration_s() const { return run_.options.seconds; }
 
-  // ---- The end ----
+  // ---- End of the run ----
 
   void finish() {
     run_.schedule.clear();
@@ -131,7 +131,7 @@
     engines_.terminate_all();
   }
 
-  /// Where the discovery channel breaks off, for whatever reason, endpoint events may arrive later.
+  /// Whether endpoint events may arrive late because the profile can interrupt the connection to discovery.
   [[nodiscard]] bool endpoint_events_may_be_late() const {
     const Profile& profile = run_.profile;
     const auto disturbs_discovery = [](const std::string& rules) {
@@ -140,24 +140,24 @@
     };
     return std::any_of(profile.call_fault_rules.begin(), profile.call_fault_rules.end(),
                        disturbs_discovery) ||
-           profile.discovery_falls_silent || profile.configurations_reload || profile.managers_pause;
+           profile.discovery_stops_sending || profile.configurations_reload || profile.managers_pause;
   }
 
-  [[nodiscard]] Verdict reach_verdict() const {
-    constexpr double drain_grace_s = 0.25;  // as configured
+  [[nodiscard]] Verdict evaluate() const {
+    constexpr double drain_grace_s = 0.25;  // drain_grace_ns in manager_config.cpp
     constexpr double slack_s = 0.35;
     constexpr double late_event_s = 4;
-    RunFacts facts;
-    facts.drain_grace_s = drain_grace_s + slack_s + (endpoint_events_may_be_late() ? late_event_s : 0);
-    facts.many_idle_connections = run_.profile.idle_connections > 0;
+    VerdictConditions conditions;
+    conditions.drain_grace_s = drain_grace_s + slack_s + (endpoint_events_may_be_late() ? late_event_s : 0);
+    conditions.many_idle_connections = run_.profile.idle_connections > 0;
     const std::vector<ManagerLogs> logs = managers_.logs();
-    Verdict verdict = judge(collect_events(run_.folder, logs), facts);
+    Verdict verdict = check_rules(collect_events(run_.folder, logs), conditions);
     for (const std::string& line : collect_logged_violations(logs))
       verdict.violations.push_back({Rule::manager_logs_no_violation, line});
     return verdict;
   }
 
-  /// Prints the verdict and removes the logs of a good run. Returns the exit code.
+  /// Prints the verdict and removes the logs of a successful run. Returns the exit code.
   int report(const Verdict& verdict) const {
     constexpr std::size_t max_lines = 20;
     for (std::size_t i = 0; i < std::min(max_lines, verdict.violations.size()); ++i)
@@ -171,7 +171,7 @@
     } else {
       std::cout << "logs: " << run_.folder.string() << "\n";
     }
-    std::cout << std::flush;  // a long series of seeds can be watched, and cut off
+    std::cout << std::flush;  // shows the progress of a long series of seeds
     return good ? 0 : 1;
   }
 
@@ -179,11 +179,11 @@
   EngineProcesses engines_;
   ClientProcesses clients_;
   ManagerProcesses managers_;
-  std::int64_t began_ = 0;  // when all managers were ready
+  std::int64_t began_ = 0;  // when all managers were ready; ns
 };
 
 }  // namespace
 
-int run_once(const RunOptions& options) { return Run(options).play(); }
+int run_once(const RunOptions& options) { return FaultRun(options).execute(); }
 
 }  // namespace paddlestand::faults
--- a/tests/faults/run_addresses.cpp
+++ b/tests/faults/run_addresses.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t engines_octet = 100;
 constexpr std::uint32_t discovery_octet = 250;
 
-/// 127.x.y.`last_octet`, where x and y follow from the process id.
+/// 127.x.y.`last_octet`, where x and y are derived from the process id.
 Endpoint address_of(std::uint32_t last_octet, std::uint16_t port) {
   const auto process = static_cast<std::uint32_t>(::getpid());
   const std::uint32_t second_octet = 16 + (process >> 8U) % 100;
--- a/tests/faults/run_addresses.hpp
+++ b/tests/faults/run_addresses.hpp
@@ -7,10 +7,10 @@
 
 constexpr std::uint16_t manager_port = 4100;
 
-/// Addresses differ between runs that take place at once, so that they do not disturb each other.
+/// The addresses depend on the process id, so that concurrent runs do not interfere with each other.
 Endpoint manager_address(std::uint32_t number);
 Endpoint engine_address(std::uint32_t number);
-/// The two addresses that discovery moves between.
+/// The two addresses between which the discovery service moves.
 Endpoint first_discovery_address();
 Endpoint second_discovery_address();
 
--- a/tests/faults/run_context.cpp
+++ b/tests/faults/run_context.cpp
@@ -19,6 +19,6 @@
       random(run_options.seed),
       profile(profile_named(run_options.profile, random.generator())),
       folder(create_log_folder(run_options.seed)),
-      journal(path("run.events")) {}
+      event_log(path("run.events")) {}
 
 }  // namespace paddlestand::faults
--- a/tests/faults/run_context.hpp
+++ b/tests/faults/run_context.hpp
@@ -1,4 +1,4 @@
-/// What the parts of one fault run share.
+/// State that the parts of a fault run share.
 #pragma once
 
 #include <filesystem>
@@ -12,18 +12,18 @@
 
 namespace paddlestand::faults {
 
-/// Owned by the run, which outlives its parts. Creates the folder of the run's logs.
+/// Owned by the run, which outlives its parts. The constructor creates the log folder.
 struct RunContext {
   explicit RunContext(const RunOptions& run_options);
 
-  /// Path of a file in the folder of the run's logs.
+  /// Path of a file in the log folder.
   [[nodiscard]] std::string path(const std::string& file_name) const { return (folder / file_name).string(); }
 
   RunOptions options;
   RandomDraws random;
   Profile profile;
   std::filesystem::path folder;
-  EventWriter journal;  // of what the run does to its processes
+  EventWriter event_log;  // events that the run itself causes or observes
   ActionSchedule schedule;
 };
 
--- a/tests/faults/run_evidence.cpp
+++ b/tests/faults/run_evidence.cpp
@@ -15,7 +15,8 @@
   }
 }
 
-/// Connections to engines and to discovery do not count: no client's request is lost with them.
+/// Appends the client connections that call faults broke. Connections to engines and to discovery are
+/// skipped: losing them does not lose a client's request.
 void append_broken_connections(const std::string& path, std::uint32_t manager,
                                std::vector<RunEvent>& events) {
   std::ifstream file(path);
@@ -31,7 +32,7 @@
 
 bool reports_violation(const std::string& line) {
   const auto contains = [&](const char* text) { return line.find(text) != std::string::npos; };
-  // How late a manager is depends on the machine; answers in time are judged from outside.
+  // A manager's own delay depends on the machine. The verdict checks timely answers from the clients' events.
   if (contains("\"event\":\"invariant_violated\"") && !contains("in_time")) return true;
   return contains("\"event\":\"violation\"") || contains("\"event\":\"assertion_failed\"");
 }
--- a/tests/faults/run_evidence.hpp
+++ b/tests/faults/run_evidence.hpp
@@ -1,4 +1,4 @@
-/// What the processes of a fault run wrote down, collected for the verdict.
+/// Collects the events and logs of the processes of a fault run for the verdict.
 #pragma once
 
 #include <filesystem>
@@ -9,11 +9,11 @@
 
 namespace paddlestand::faults {
 
-/// All events of the run's processes in `folder`, and of the connections that call faults broke, by time.
+/// All events in the log folder and all connections broken by call faults, sorted by time.
 std::vector<RunEvent> collect_events(const std::filesystem::path& folder,
                                      const std::vector<ManagerLogs>& managers);
 
-/// The log lines of violations that the managers found in themselves by their run-time checks.
+/// The log lines with which the managers' run-time checks report violations.
 std::vector<std::string> collect_logged_violations(const std::vector<ManagerLogs>& managers);
 
 }  // namespace paddlestand::faults
--- a/tests/faults/run_history.cpp
+++ b/tests/faults/run_history.cpp
@@ -47,7 +47,7 @@
     case EventKind::connection_broken:
       history.broken_connections.insert({event.subject, static_cast<std::uint32_t>(event.value)});
       break;
-    case EventKind::answered:  // to a number under which no request is open
+    case EventKind::answered:  // for an id without an open request
     case EventKind::manager_exited:
     case EventKind::manager_not_ready: history.violations.push_back(event); break;
     default: break;
--- a/tests/faults/run_history.hpp
+++ b/tests/faults/run_history.hpp
@@ -1,4 +1,4 @@
-/// The events of a fault run, sorted by what they are about: requests, managers, engines, connections.
+/// The events of a fault run, grouped by request, manager, engine and connection.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 namespace paddlestand::faults {
 
-/// Everything that the processes of a run recorded about one request, each list by time.
+/// All events of a run that concern one request. Each list is sorted by time.
 struct RequestHistory {
   std::uint64_t trace = 0;
   std::optional<RunEvent> sent;
-  std::optional<RunEvent> outcome;  // the last answer, its connection's end, or that there was no answer
+  std::optional<RunEvent> outcome;  // the last answer, or a connection_ended or unanswered event
   std::vector<RunEvent> answers;
   std::vector<RunEvent> attempts_started;
   std::vector<RunEvent> attempts_rejected;
   std::vector<RunEvent> attempts_ended;
-  std::optional<std::int64_t> abandoned_at;  // ns; cancelled, or its client disconnected
+  std::optional<std::int64_t> abandoned_at;  // ns; when the client cancelled or disconnected
 };
 
-/// Times in nanoseconds, ascending, by manager or engine.
+/// Times in nanoseconds, in ascending order, by number of the manager or engine.
 using TimesBySubject = std::map<std::uint32_t, std::vector<std::int64_t>>;
 
 struct RunHistory {
@@ -33,17 +33,17 @@
   TimesBySubject manager_kills;
   TimesBySubject engine_kills;
   TimesBySubject engine_read_stops;
-  std::map<std::uint32_t, std::int64_t> engine_drains;  // the first of each engine
-  std::set<std::pair<std::uint32_t, std::uint32_t>> broken_connections;  // manager and client's port
-  std::vector<RunEvent> violations;  // events that should never happen, whatever else did
-  // Number of requests sent and of answers by their kind.
+  std::map<std::uint32_t, std::int64_t> engine_drains;  // time of the first drain of each engine
+  std::set<std::pair<std::uint32_t, std::uint32_t>> broken_connections;  // manager number and client port
+  std::vector<RunEvent> violations;  // events that are always a violation
+  // Number of requests sent, and number of answers by kind.
   std::size_t requests_sent = 0;
   std::size_t served = 0;
   std::size_t rejected = 0;
   std::size_t failed = 0;
 };
 
-/// `events` by time.
+/// `events` must be sorted by time.
 RunHistory history_of(const std::vector<RunEvent>& events);
 
 }  // namespace paddlestand::faults
--- a/tests/faults/sockets.cpp
+++ b/tests/faults/sockets.cpp
@@ -18,9 +18,9 @@
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::size_t read_size = 65536;  // bytes of one call
+constexpr std::size_t read_size = 65536;  // bytes per call
 
-/// Nanoseconds since the message arrived from the network, by its timestamp; zero where it has none.
+/// Nanoseconds since the message arrived from the network, from its kernel timestamp; zero if it has none.
 std::int64_t time_in_kernel(msghdr& message) {
   timespec now{};
   ::clock_gettime(CLOCK_REALTIME, &now);
@@ -56,7 +56,7 @@
   const auto colon = text.rfind(':');
   in_addr raw{};
   if (colon == std::string::npos || ::inet_pton(AF_INET, text.substr(0, colon).c_str(), &raw) != 1)
-    throw std::runtime_error("'" + text + "'; expected an address like 127.0.0.1:80");
+    throw std::runtime_error("'" + text + "': expected an address such as 127.0.0.1:80");
   return {ntohl(raw.s_addr), static_cast<std::uint16_t>(std::stoi(text.substr(colon + 1)))};
 }
 
--- a/tests/faults/sockets.hpp
+++ b/tests/faults/sockets.hpp
@@ -1,4 +1,5 @@
-/// Sockets of the fault runs' own processes: non-blocking, buffered, for loops over poll().
+/// Non-blocking buffered sockets for the engines, clients and discovery service of fault runs, used with
+/// poll().
 #pragma once
 
 #include <netinet/in.h>
@@ -15,18 +16,17 @@
   std::uint32_t host{};  // in host byte order
   std::uint16_t port{};
   [[nodiscard]] sockaddr_in address() const;
-  /// As in "127.0.0.1:80".
+  /// In the form "127.0.0.1:80".
   [[nodiscard]] std::string text() const;
 };
 
-/// "127.0.0.1:80"; throws std::runtime_error on anything else.
+/// Parses the form "127.0.0.1:80". Throws std::runtime_error if the address is invalid.
 Endpoint parse_endpoint(const std::string& text);
 
-/// A listening socket, non-blocking, which the caller owns. Throws std::runtime_error where the address can't
-/// be bound.
+/// Opens a non-blocking listening socket, which the caller owns. Throws std::runtime_error on failure.
 int listen_on(const Endpoint& at, int backlog = 1024);
 
-/// One connection. Owns its socket.
+/// A connection. Owns its socket.
 class Connection {
  public:
   explicit Connection(int socket) : socket_(socket) {}
@@ -34,27 +34,27 @@
   Connection& operator=(Connection&& other) noexcept;
   ~Connection() { close(); }
 
-  /// Connects, within the time of a local handshake. Nothing where that fails.
+  /// Connects, with a timeout for a local handshake. Returns nothing on failure.
   static std::optional<Connection> connect(const Endpoint& to);
 
   [[nodiscard]] int socket() const { return socket_; }
   [[nodiscard]] bool open() const { return socket_ >= 0; }
   [[nodiscard]] std::uint16_t own_port() const;
   void close();
-  /// Closes so that the peer sees a reset.
+  /// Closes the connection with a reset.
   void reset();
-  /// Whether its end, found by read() or flush(), was a reset and not a shutdown.
+  /// Whether read() or flush() found that the connection ended by a reset rather than a shutdown.
   [[nodiscard]] bool was_reset() const { return was_reset_; }
 
-  /// Appends what has arrived to `input`. False at the connection's end.
+  /// Appends all received bytes to `input`. Returns false if the connection has ended.
   bool read(std::string& input);
-  /// As read(); `received_at` is when the last of it arrived from the network, on the monotonic clock. Needs
-  /// SO_TIMESTAMPNS on the socket; unchanged where nothing has arrived.
+  /// As read(). Sets `received_at` to the time on the monotonic clock at which the last bytes arrived from
+  /// the network; leaves it unchanged if there were none. Requires SO_TIMESTAMPNS on the socket.
   bool read_with_time(std::string& input, std::int64_t& received_at);
-  /// Adds bytes to what flush() writes.
+  /// Appends bytes to the output buffer.
   void queue(std::string_view bytes) { output_ += bytes; }
   [[nodiscard]] bool wants_to_write() const { return !output_.empty(); }
-  /// Writes what is queued, as far as the socket accepts it. False at the connection's end.
+  /// Writes as much of the output buffer as the socket accepts. Returns false if the connection has ended.
   bool flush();
 
  private:
--- a/tests/faults/verdict.cpp
+++ b/tests/faults/verdict.cpp
@@ -11,14 +11,15 @@
 namespace paddlestand::faults {
 namespace {
 
-// Each limit is the platform's, and 50 ms more, as the platform has it.
-constexpr std::int64_t late_attempt_limit = 150 * millisecond;  // after its client abandoned the request
-constexpr std::int64_t deadline_slack_ms = 150;  // of what an engine is granted
-constexpr std::int64_t crossing_limit = 70 * millisecond;  // a request that crosses a connection's end
-// An engine sees a cancel or a close once its loop comes to it; the manager may have gone on at once.
+// Each limit is the limit that the platform sets plus its tolerance of 50 ms.
+constexpr std::int64_t late_attempt_limit = 150 * millisecond;  // after the client abandoned the request
+constexpr std::int64_t deadline_slack_ms = 150;  // of the time granted to an engine
+// For a request that is in transit while the manager closes the connection.
+constexpr std::int64_t crossing_limit = 70 * millisecond;
+// An engine handles a cancel or a close when its event loop reads it; the manager may continue earlier.
 constexpr std::int64_t engine_loop_delay = 50 * millisecond;
-constexpr std::int64_t crash_detection_limit = 1000 * millisecond;  // until clients see a manager's kill
-// An attempt may start between an event and its record.
+constexpr std::int64_t crash_detection_limit = 1000 * millisecond;  // until clients detect a killed manager
+// An attempt may start between the occurrence of an event and its record.
 constexpr std::int64_t record_delay = 1 * millisecond;
 
 const char* name_of(Rule rule) {
@@ -40,7 +41,7 @@
 
 std::string engine_name(const RunEvent& attempt) { return "engine " + std::to_string(attempt.subject); }
 
-/// The first of the times of the attempt's engine since the attempt started; or nothing.
+/// The first time listed for the attempt's engine since the attempt started; nothing if there is none.
 std::optional<std::int64_t> first_since(const RunEvent& attempt, const TimesBySubject& times) {
   const auto found = times.find(attempt.subject);
   if (found == times.end()) return std::nullopt;
@@ -50,7 +51,7 @@
   return *first;
 }
 
-/// Whether the manager's process ended at one of these times, and `at` is shortly after it.
+/// Whether `at` is shortly after one of the times at which the manager's process was killed.
 bool is_shortly_after(const TimesBySubject& ends, std::uint32_t manager, std::int64_t at) {
   const auto found = ends.find(manager);
   if (found == ends.end()) return false;
@@ -58,9 +59,10 @@
                      [&](std::int64_t end) { return at >= end && at <= end + crash_detection_limit; });
 }
 
-class Judge {
+class RuleChecker {
  public:
-  Judge(const RunHistory& history, const RunFacts& facts) : history_(history), facts_(facts) {}
+  RuleChecker(const RunHistory& history, const VerdictConditions& conditions)
+      : history_(history), conditions_(conditions) {}
 
   Verdict verdict() {
     verdict_.requests = history_.requests_sent;
@@ -88,15 +90,17 @@
     switch (event.kind) {
       case EventKind::answered:
         verdict_.violations.push_back(
-            {Rule::no_request_lost, manager + " answered number " + std::to_string(event.value) +
-                                        " on client port " + std::to_string(event.port) + " once more"});
+            {Rule::no_request_lost, manager + " answered request id " + std::to_string(event.value) +
+                                        " on client port " + std::to_string(event.port) +
+                                        ", which is not open"});
         break;
       case EventKind::manager_exited:
         verdict_.violations.push_back(
-            {Rule::manager_keeps_running, manager + " ended with " + std::to_string(event.value)});
+            {Rule::manager_keeps_running, manager + " exited with code " + std::to_string(event.value)});
         break;
       case EventKind::manager_not_ready:
-        verdict_.violations.push_back({Rule::manager_becomes_ready, manager + " was not ready"});
+        verdict_.violations.push_back(
+            {Rule::manager_becomes_ready, manager + " did not become ready in time"});
         break;
       default: break;
     }
@@ -113,14 +117,14 @@
   }
 
   void check_answers(const RequestHistory& request) {
-    if (request.answers.size() > 1) add_violation(Rule::no_request_lost, request, "two answers");
+    if (request.answers.size() > 1) add_violation(Rule::no_request_lost, request, "more than one answer");
     for (const RunEvent& answer : request.answers) {
       if (answer.detail == answer_detail::wrong)
-        add_violation(Rule::no_request_lost, request, "an answer that no engine made");
+        add_violation(Rule::no_request_lost, request, "the answer does not match the request");
     }
   }
 
-  /// Every request that was sent and not abandoned has an answer, or its connection's end is accounted for.
+  /// Every request that was sent and not abandoned must have an answer or a permitted end of its connection.
   void check_outcome(const RequestHistory& request) {
     if (!request.sent || request.abandoned_at) return;
     if (!request.outcome) {
@@ -134,20 +138,21 @@
     if (is_shortly_after(history_.manager_crashes, sent.subject, outcome.at)) return;
     const std::string delay = in_ms(outcome.at - sent.at);
     if (outcome.kind == EventKind::unanswered) {
-      add_violation(
-          Rule::no_request_lost, request,
-          "no answer " + delay + " after it was sent, client timeout " + std::to_string(sent.value) + " ms");
+      add_violation(Rule::no_request_lost, request,
+                    "no answer " + delay + " after the request was sent, client timeout " +
+                        std::to_string(sent.value) + " ms");
       return;
     }
-    if (may_have_crossed_the_end(request)) return;
-    if (facts_.many_idle_connections && sent.first) return;
+    if (may_have_crossed_close(request)) return;
+    if (conditions_.many_idle_connections && sent.first) return;
     add_violation(Rule::no_request_lost, request,
-                  "its connection ended " + delay + " after it was sent, with no answer");
+                  "the connection ended " + delay + " after the request was sent, without an answer");
   }
 
-  /// A request may cross the end of a connection; not one that was accepted, and not under a close over its
-  /// bytes, which the client sees as a reset.
-  [[nodiscard]] bool may_have_crossed_the_end(const RequestHistory& request) const {
+  /// Whether the request may have been in transit when the manager closed the connection. Not if an attempt
+  /// started. Not if the client saw a reset either, since then the manager closed with the request unread,
+  /// unless it was killed.
+  [[nodiscard]] bool may_have_crossed_close(const RequestHistory& request) const {
     const RunEvent& sent = *request.sent;
     const RunEvent& outcome = *request.outcome;
     const bool orderly = outcome.detail != end_detail::reset ||
@@ -160,9 +165,9 @@
     for (const RunEvent& attempt : request.attempts_started) {
       const std::int64_t delay = attempt.at - *request.abandoned_at;
       if (delay <= late_attempt_limit) continue;
-      add_violation(
-          Rule::no_request_lost, request,
-          "started at " + engine_name(attempt) + " " + in_ms(delay) + " after its client abandoned it");
+      add_violation(Rule::no_request_lost, request,
+                    "attempt started at " + engine_name(attempt) + " " + in_ms(delay) +
+                        " after its client abandoned it");
     }
   }
 
@@ -174,38 +179,37 @@
       if (attempt.value <= remaining_ms + deadline_slack_ms) continue;
       add_violation(Rule::deadline_within_client_timeout, request,
                     engine_name(attempt) + " was granted " + std::to_string(attempt.value) +
-                        " ms, its client had " + std::to_string(remaining_ms) + " ms remaining");
+                        " ms while its client had " + std::to_string(remaining_ms) + " ms remaining");
     }
   }
 
-  /// Of requests that must not run twice.
+  /// Checks requests that must not run twice.
   void check_effect(const RequestHistory& request) {
     if (!request.sent || request.sent->detail != "settle") return;
     const std::size_t started = request.attempts_started.size();
     const std::size_t ran = started - std::min(started, request.attempts_rejected.size());
-    if (ran > 1)
-      add_violation(Rule::effect_at_most_once, request, "started " + std::to_string(ran) + " times");
+    if (ran > 1) add_violation(Rule::effect_at_most_once, request, "ran " + std::to_string(ran) + " times");
     if (ran > 0 && request.outcome && request.outcome->detail == answer_detail::rejected)
-      add_violation(Rule::rejected_without_effect, request, "was answered as rejected, and had started");
+      add_violation(Rule::rejected_without_effect, request, "was rejected although an attempt had run");
   }
 
-  /// By the engines' own account, whatever the manager believed, for every class.
+  /// Checks requests of every class by the events of the engines, independent of the manager's view.
   void check_concurrent_attempts(const RequestHistory& request) {
     std::vector<RunEvent> ends = request.attempts_ended;
     std::optional<std::int64_t> active_until;
     for (const RunEvent& attempt : request.attempts_started) {
       if (active_until && attempt.at < *active_until) {
         add_violation(Rule::one_attempt_at_a_time, request,
-                      "started at " + engine_name(attempt) + " while another attempt was active");
+                      "attempt started at " + engine_name(attempt) + " while another was active");
       }
       const std::int64_t end = extract_end_of(attempt, ends);
       active_until = std::max(active_until.value_or(end), end);
     }
   }
 
-  /// When the attempt was certainly over for its engine; its event is removed from `ends`. What is cancelled
-  /// while the engine reads nothing ends at a time that the engine can't know, and may still be answered by
-  /// it: such an attempt counts as over from the moment on from which the engine read nothing.
+  /// The time until which the attempt was certainly active at its engine. Removes its end event from `ends`.
+  /// An attempt that is cancelled while the engine does not read ends at a time unknown to the engine, which
+  /// may still answer it: such an attempt counts as ended when the engine stopped reading.
   std::int64_t extract_end_of(const RunEvent& attempt, std::vector<RunEvent>& ends) const {
     const auto end = std::find_if(ends.begin(), ends.end(), [&](const RunEvent& candidate) {
       return candidate.subject == attempt.subject && candidate.port == attempt.port &&
@@ -226,15 +230,15 @@
       const auto drain = history_.engine_drains.find(attempt.subject);
       if (drain == history_.engine_drains.end()) continue;
       const double delay_s = static_cast<double>(attempt.at - drain->second) * 1e-9;
-      if (delay_s <= facts_.drain_grace_s) continue;
+      if (delay_s <= conditions_.drain_grace_s) continue;
       add_violation(Rule::no_attempt_at_draining_engine, request,
-                    "started at " + engine_name(attempt) + " " + std::to_string(delay_s) +
-                        " s after it began to drain");
+                    "attempt started at " + engine_name(attempt) + " " + std::to_string(delay_s) +
+                        " s after the engine began to drain");
     }
   }
 
   const RunHistory& history_;
-  RunFacts facts_;
+  VerdictConditions conditions_;
   Verdict verdict_;
 };
 
@@ -244,9 +248,9 @@
   return std::string(name_of(violation.rule)) + ": " + violation.description;
 }
 
-Verdict judge(const std::vector<RunEvent>& events, const RunFacts& facts) {
+Verdict check_rules(const std::vector<RunEvent>& events, const VerdictConditions& conditions) {
   const RunHistory history = history_of(events);
-  return Judge(history, facts).verdict();
+  return RuleChecker(history, conditions).verdict();
 }
 
 }  // namespace paddlestand::faults
--- a/tests/faults/verdict.hpp
+++ b/tests/faults/verdict.hpp
@@ -1,4 +1,4 @@
-/// Whether a fault run kept the rules, judged by what its processes wrote down.
+/// Checks the recorded events of a fault run against the rules.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +9,32 @@
 
 namespace paddlestand::faults {
 
-/// What a run must keep to.
+/// A rule that every run must satisfy.
 enum class Rule : std::uint8_t {
-  no_request_lost,  // one answer, made by an engine; no attempt after the client has abandoned the request
-  deadline_within_client_timeout,  // what an engine is granted
-  effect_at_most_once,  // of requests that must not run twice
-  rejected_without_effect,  // of requests that must not run twice
+  no_request_lost,  // exactly one answer, from an engine; no attempt after the client abandoned the request
+  deadline_within_client_timeout,  // the time granted to an engine
+  effect_at_most_once,  // for requests that must not run twice
+  rejected_without_effect,  // for requests that must not run twice
   one_attempt_at_a_time,
   no_attempt_at_draining_engine,
   manager_keeps_running,
   manager_becomes_ready,
-  manager_logs_no_violation  // found by its own run-time checks
+  manager_logs_no_violation  // detected by its own run-time checks
 };
 
 struct Violation {
   Rule rule{};
-  std::string description;  // for a reader: which request, where and how much
+  std::string description;  // human-readable: which request, where, and by how much
 };
 
-/// The violation as one line.
+/// Formats the violation as one line.
 std::string to_line(const Violation& violation);
 
-/// What the verdict has to know of the run's profile.
-struct RunFacts {
-  double drain_grace_s = 0;  // after an engine begins to drain, with the delay until managers hear of it
-  bool many_idle_connections = false;  // a new connection may be closed unread
+/// Properties of the run's profile on which the rules depend.
+struct VerdictConditions {
+  double drain_grace_s =
+      0;  // since an engine began to drain, including the delay until managers are notified
+  bool many_idle_connections = false;  // a new connection may be closed without being read
 };
 
 struct Verdict {
@@ -44,7 +45,7 @@
   std::size_t failed = 0;
 };
 
-/// `events` by time.
-Verdict judge(const std::vector<RunEvent>& events, const RunFacts& facts);
+/// Checks all rules. `events` must be sorted by time.
+Verdict check_rules(const std::vector<RunEvent>& events, const VerdictConditions& conditions);
 
 }  // namespace paddlestand::faults
