--- a/tests/faults/profiles.hpp
+++ b/tests/faults/profiles.hpp
@@ -20,8 +20,8 @@
   double late_frame_scale = 0;  // scales the probabilities of frames for attempts that have ended
   std::uint32_t idle_connections = 0;  // from each client process to each manager
   bool clients_misbehave = false;
-  bool managers_roll =
-      false;  // planned restarts: SIGTERM, further signals, SIGKILL at the earliest permitted time
+  // Planned restarts: SIGTERM, further signals, SIGKILL at the earliest permitted time.
+  bool managers_roll = false;
   bool managers_crash = false;  // restarts without notice
   bool configurations_reload = false;  // SIGHUP; discovery moves to its other address
   bool managers_pause = false;  // SIGSTOP and SIGCONT
--- a/tests/faults/verdict.hpp
+++ b/tests/faults/verdict.hpp
@@ -32,8 +32,7 @@
 
 /// Properties of the run's profile on which the rules depend.
 struct VerdictConditions {
-  double drain_grace_s =
-      0;  // since an engine began to drain, including the delay until managers are notified
+  double drain_grace_s = 0;  // after an engine begins to drain; includes the delay of the notification
   bool many_idle_connections = false;  // a new connection may be closed without being read
 };
 
