--- a/test_engine/engine_context.cpp
+++ b/test_engine/engine_context.cpp
@@ -5,22 +5,23 @@
 namespace paddlestand::test_engine {
 namespace {
 
-/// Without a slow start, the engine counts as having run for longer than that lasts. On the shared clock.
+/// Returns the start time of the engine on the shared clock. If the engine does not start in slow start, that
+/// time is so long ago that the slow start is over.
 double start_time_s(const TestEngineSettings& settings) {
   const double now_s = shared_clock_s();
-  return settings.begins_slow_start ? now_s : now_s - settings.shape.slow_start_duration - 1;
+  return settings.starts_in_slow_start ? now_s : now_s - settings.shape.slow_start_duration - 1;
 }
 
 }  // namespace
 
-EngineContext::EngineContext(boost::asio::io_context& event_loop, const TestEngineSettings& settings)
-    : io(event_loop),
+EngineContext::EngineContext(boost::asio::io_context& io, const TestEngineSettings& settings)
+    : io_context(io),
       log(settings.name, settings.truth_log),
-      jobs(event_loop, settings.shape, start_time_s(settings)),
+      jobs(io, settings.shape, start_time_s(settings)),
       random(settings.seed),
       report_period_s(settings.report_period_s) {}
 
-bool EngineContext::happens(double probability) {
+bool EngineContext::draw_bernoulli(double probability) {
   return probability > 0 && std::uniform_real_distribution<double>(0, 1)(random) < probability;
 }
 
--- a/test_engine/engine_context.hpp
+++ b/test_engine/engine_context.hpp
@@ -1,5 +1,5 @@
-/// What a test engine's server and its sessions share. Sessions may outlive the server in the event loop, so
-/// each holds a reference.
+/// The state that a test engine's server and its sessions share. Sessions may outlive the server in the event
+/// loop, so each holds a reference.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,19 +20,19 @@
 
 class Session;
 
-/// Not thread-safe: all of it belongs to the event loop's thread.
+/// Not thread-safe: used only on the thread of the event loop.
 struct EngineContext {
-  EngineContext(boost::asio::io_context& event_loop, const TestEngineSettings& settings);
+  EngineContext(boost::asio::io_context& io, const TestEngineSettings& settings);
 
-  /// Whether a random event of this probability happens now.
-  [[nodiscard]] bool happens(double probability);
-  /// How many jobs run, as reported to managers: at most `report_period_s` old.
+  /// Returns true with the given probability.
+  [[nodiscard]] bool draw_bernoulli(double probability);
+  /// The number of running jobs as reported to managers; at most `report_period_s` old.
   [[nodiscard]] std::string load_report();
   [[nodiscard]] std::vector<std::shared_ptr<Session>> live_sessions() const;
-  /// Null where there is none.
+  /// Returns null if there is no such session.
   [[nodiscard]] std::shared_ptr<Session> find_session(std::uint32_t process) const;
 
-  boost::asio::io_context& io;
+  boost::asio::io_context& io_context;
   InjectedFaults faults;
   TruthLog log;
   JobExecutor jobs;
--- a/test_engine/job_executor.hpp
+++ b/test_engine/job_executor.hpp
@@ -10,7 +10,7 @@
 
 namespace paddlestand::test_engine {
 
-/// Is notified when its job has ended by itself.
+/// Is notified when its job has finished.
 class JobOwner {
  public:
   virtual ~JobOwner() = default;
@@ -22,25 +22,26 @@
   JobOwner& operator=(const JobOwner&) = default;
 };
 
-/// Holds no owner alive. Belongs to the event loop's thread.
+/// Holds weak references to the owners. Used only on the thread of the event loop.
 class JobExecutor {
  public:
-  /// `started_s`: when the engine started, on the shared clock.
+  /// `started_s` is the start time of the engine on the shared clock.
   JobExecutor(boost::asio::io_context& io, const simulation::EngineShape& shape, double started_s);
 
-  [[nodiscard]] simulation::JobId next_id() { return ++last_job_; }
-  /// Starts `job`, whose id is from next_id(). Its owner is notified only if it was accepted.
+  [[nodiscard]] simulation::JobId next_id() { return ++last_job_id_; }
+  /// Starts `job`, whose id comes from next_id(). Its owner is notified of its end only if the job is
+  /// accepted.
   simulation::Admission start(const simulation::Job& job, std::weak_ptr<JobOwner> owner);
-  /// Ends a job without notifying its owner.
+  /// Stops a job without notifying its owner.
   void cancel(simulation::JobId job);
-  /// The job goes on, and nobody is notified of its end.
+  /// Lets the job continue without notifying its owner of its end.
   void detach(simulation::JobId job);
   /// Replaces a running job's priority and memory grant.
   void set_terms(simulation::JobId job, std::uint8_t priority, double memory_mb);
 
-  /// The model, to be changed by faults; update() must follow.
+  /// For fault injection. Call update() after a change.
   [[nodiscard]] simulation::EngineModel& model() { return model_; }
-  /// Notifies the owners of jobs that have ended, and waits for the next end.
+  /// Notifies the owners of jobs that have finished, and arms the timer for the next job to finish.
   void update();
 
  private:
@@ -49,7 +50,7 @@
   simulation::EngineModel model_;
   boost::asio::steady_timer timer_;
   std::map<simulation::JobId, std::weak_ptr<JobOwner>> owners_;
-  simulation::JobId last_job_ = 0;
+  simulation::JobId last_job_id_ = 0;
 };
 
 }  // namespace paddlestand::test_engine
--- a/test_engine/main.cpp
+++ b/test_engine/main.cpp
@@ -1,4 +1,4 @@
-/// The test engine as a program.
+/// The program paddlestand_test_engine.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -13,7 +13,7 @@
 
 using namespace paddlestand;
 
-/// What the command line sets.
+/// The options of the command line.
 struct Options {
   test_engine::TestEngineSettings settings;
   std::string port_file;
@@ -23,15 +23,16 @@
 void add_options(CLI::App& app, Options& options) {
   test_engine::TestEngineSettings& settings = options.settings;
   simulation::EngineShape& shape = settings.shape;
-  app.add_option("--name", settings.name, "Its name in its log");
-  app.add_option("--port", settings.port, "Port for queries; 0: any");
-  app.add_option("--control-port", settings.control_port, "Port for commands; 0: any");
+  app.add_option("--name", settings.name, "Name of the engine in its log");
+  app.add_option("--port", settings.port, "Port for queries; 0: chosen by the system");
+  app.add_option("--control-port", settings.control_port, "Port for commands; 0: chosen by the system");
   app.add_option("--port-file", options.port_file, "Write both ports to this file");
   app.add_option("--truth-log", settings.truth_log,
-                 "Append what becomes of each query to this file (JSON lines)");
+                 "Append the events of each query to this file (JSON lines)");
   app.add_option("--cores", shape.cores);
   app.add_option("--memory-mb", shape.memory_mb);
-  app.add_option("--speed", shape.speed, "Of a core; 10: all work needs a tenth of its time");
+  app.add_option("--speed", shape.speed,
+                 "Speed of a core, relative to a standard core; at 10, work takes a tenth of the time");
   app.add_option("--most-jobs", shape.max_jobs);
   app.add_option("--memory-shortage", options.memory_shortage)
       ->check(CLI::IsMember({"wait", "spill", "page"}));
@@ -41,16 +42,16 @@
   app.add_option("--fall-window", shape.overload_window, "Seconds");
   app.add_option("--note-period", settings.progress_period_s, "Seconds between progress reports; 0: none");
   app.add_option("--seed", settings.seed);
-  app.add_flag("--cold", settings.begins_slow_start, "Begin with a slow start");
+  app.add_flag("--cold", settings.starts_in_slow_start, "Start in slow start");
 }
 
-simulation::MemoryShortagePolicy memory_short_of(const std::string& text) {
+simulation::MemoryShortagePolicy parse_memory_shortage_policy(const std::string& text) {
   if (text == "wait") return simulation::MemoryShortagePolicy::wait;
   if (text == "spill") return simulation::MemoryShortagePolicy::spill;
   return simulation::MemoryShortagePolicy::page;
 }
 
-/// Replaces the file at once: a reader sees both ports or none. Whether it could be written.
+/// Replaces the file atomically, so that a reader sees both ports or none. Returns whether it succeeded.
 bool write_port_file(const std::string& path, const test_engine::Server& server) {
   const std::string replacement = path + ".new";
   std::ofstream(replacement) << server.port() << " " << server.control_port() << "\n";
@@ -71,11 +72,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"A test engine: simulates an analytic engine, for tests and trials on loopback"};
+  CLI::App app{"Simulates an analytic engine for tests on the loopback interface"};
   Options options;
   add_options(app, options);
   CLI11_PARSE(app, argc, argv);
-  options.settings.shape.memory_shortage_policy = memory_short_of(options.memory_shortage);
+  options.settings.shape.memory_shortage_policy = parse_memory_shortage_policy(options.memory_shortage);
   signal(SIGPIPE, SIG_IGN);
   try {
     return run(options);
--- a/test_engine/query_profile.hpp
+++ b/test_engine/query_profile.hpp
@@ -1,4 +1,4 @@
-/// What a query costs on a test engine, as its own tags say.
+/// The cost of a query on a test engine, given by tags in its statement.
 #pragma once
 
 #include <cstddef>
@@ -10,25 +10,25 @@
 
 namespace paddlestand::test_engine {
 
-/// Parses the number at the start of `text`; `fallback` where there is none.
+/// Parses the number at the start of `text`. Returns `fallback` if there is none.
 double parse_number(const std::string& text, double fallback);
 
-/// A query's cost, from the tags of its statement. Sizes in bytes and MB as named.
+/// The cost of a query and the size of its answer.
 struct QueryProfile {
   std::string id;  ///< sim_id
-  simulation::Job job;  ///< without its id and the session's terms
+  simulation::Job job;  ///< without the id, and the priority and memory grant of the session
   std::size_t rows = 1;
   std::size_t row_bytes = 8;
-  std::map<std::string, std::string> tags;  ///< all of the statement's
+  std::map<std::string, std::string> tags;  ///< all tags of the statement, by name
 
-  /// The tag's value; empty where there is none.
+  /// Returns the value of a tag, or an empty string if the statement has no such tag.
   [[nodiscard]] std::string tag(const std::string& name) const;
-  /// The tag's value as a number; `fallback` where it is none.
+  /// Returns the value of a tag as a number, or `fallback` if it is missing or not a number.
   [[nodiscard]] double number_tag(const std::string& name, double fallback) const;
 };
 
 /// Reads the tags in the comments of a statement: sim_id, sim_work_ms, sim_threads, sim_memory_mb, sim_rows,
-/// sim_row_bytes, sim_write, sim_reads, and `tables`. Missing ones have defaults.
+/// sim_row_bytes, sim_write, sim_reads and `tables`. Missing tags have defaults.
 QueryProfile read_profile(std::string_view statement);
 
 }  // namespace paddlestand::test_engine
--- a/test_engine/server.cpp
+++ b/test_engine/server.cpp
@@ -46,17 +46,17 @@
   listen();
   listen_on(control_acceptor_, settings_.address, settings_.control_port);
   control_port_ = control_acceptor_.local_endpoint().port();
-  asio::co_spawn(engine_->io, accept_control(), asio::detached);
+  asio::co_spawn(engine_->io_context, accept_control(), asio::detached);
   if (settings_.progress_period_s > 0)
-    asio::co_spawn(engine_->io, send_progress_periodically(), asio::detached);
-  engine_->log.write(log_event::engine_started, "", {{"cold", settings_.begins_slow_start}});
+    asio::co_spawn(engine_->io_context, send_progress_periodically(), asio::detached);
+  engine_->log.write(log_event::engine_started, "", {{"cold", settings_.starts_in_slow_start}});
 }
 
 void Server::listen() {
-  acceptor_ = std::make_unique<tcp::acceptor>(engine_->io);
+  acceptor_ = std::make_unique<tcp::acceptor>(engine_->io_context);
   listen_on(*acceptor_, settings_.address, port_ != 0 ? port_ : settings_.port);
   port_ = acceptor_->local_endpoint().port();
-  asio::co_spawn(engine_->io, accept_sessions(), asio::detached);
+  asio::co_spawn(engine_->io_context, accept_sessions(), asio::detached);
 }
 
 asio::awaitable<void> Server::accept_sessions() {
@@ -64,25 +64,25 @@
   for (;;) {
     error_code error;
     tcp::socket socket = co_await acceptor->async_accept(asio::redirect_error(asio::use_awaitable, error));
-    if (error) co_return;  // closed by a command
+    if (error) co_return;  // the command `refuse` closed the acceptor
     if (engine_->faults.vanish) {
-      if (unserved_.size() < max_unserved_sockets) unserved_.push_back(std::move(socket));
+      if (unserved_sockets_.size() < max_unserved_sockets) unserved_sockets_.push_back(std::move(socket));
       continue;
     }
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    const auto process = ++last_process_;
+    const auto process = ++last_process_number_;
     const pg::CancelKey key{process, static_cast<std::uint32_t>(engine_->random())};
     const auto session = std::make_shared<Session>(engine_, std::move(socket), key);
     engine_->sessions[process] = session;
     asio::co_spawn(
-        engine_->io, [session] { return session->run(); }, asio::detached);
+        engine_->io_context, [session] { return session->run(); }, asio::detached);
   }
 }
 
 asio::awaitable<void> Server::send_progress_periodically() {
   const std::chrono::nanoseconds period(static_cast<std::int64_t>(settings_.progress_period_s * 1e9));
-  asio::steady_timer timer(engine_->io);
+  asio::steady_timer timer(engine_->io_context);
   for (;;) {
     timer.expires_after(period);
     error_code error;
@@ -99,7 +99,7 @@
     tcp::socket socket =
         co_await control_acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
     if (error) co_return;
-    asio::co_spawn(engine_->io, serve_control(std::move(socket)), asio::detached);
+    asio::co_spawn(engine_->io_context, serve_control(std::move(socket)), asio::detached);
   }
 }
 
@@ -112,7 +112,7 @@
     std::istream in(&buffer);
     std::string line;
     std::getline(in, line);
-    const std::string answer = command(line) + "\n";
+    const std::string answer = execute_command(line) + "\n";
     co_await asio::async_write(socket, asio::buffer(answer),
                                asio::redirect_error(asio::use_awaitable, error));
     if (error) co_return;
--- a/test_engine/server.hpp
+++ b/test_engine/server.hpp
@@ -1,7 +1,7 @@
-/// A test engine: speaks the server's side of the PostgreSQL protocol, runs queries as jobs of the engine
-/// model in real time, keeps a ground-truth log, and injects faults on command.
+/// A test engine: implements the server side of the PostgreSQL protocol, runs queries as jobs of the engine
+/// model in real time, writes a ground-truth log, and injects faults on command.
 ///
-/// What a query costs is in its own tags (query_profile.hpp), which a manager ignores.
+/// The cost of a query is given by tags in its statement (query_profile.hpp), which managers ignore.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,7 +19,7 @@
 
 struct EngineContext;
 
-/// Listens for queries and for commands. Belongs to the event loop's thread.
+/// Owns the query port and the control port. Used only on the thread of the event loop.
 class Server {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -29,20 +29,20 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// Listens for queries and for commands. Throws boost::system::system_error where a port can't be had.
+  /// Listens on both ports. Throws boost::system::system_error if a port cannot be bound.
   void start();
   [[nodiscard]] std::uint16_t port() const { return port_; }
   [[nodiscard]] std::uint16_t control_port() const { return control_port_; }
 
-  /// Executes one line of a control connection: a command, and for some a number. Returns "ok", or what is
-  /// wrong with it.
-  std::string command(const std::string& line);
+  /// Executes one line of a control connection: a command, for some commands followed by a number. Returns
+  /// "ok" or an error message.
+  std::string execute_command(const std::string& line);
 
  private:
   struct Command;
 
   [[nodiscard]] static std::span<const Command> commands();
-  [[nodiscard]] static std::string unknown_command_text();
+  [[nodiscard]] static std::string unknown_command_message();
 
   void listen();
   boost::asio::awaitable<void> accept_sessions();
@@ -68,8 +68,8 @@
   tcp::acceptor control_acceptor_;
   std::uint16_t port_ = 0;
   std::uint16_t control_port_ = 0;
-  std::vector<tcp::socket> unserved_;  // accepted while the engine has vanished
-  std::uint32_t last_process_ = 0;
+  std::vector<tcp::socket> unserved_sockets_;  // accepted during the fault `vanish`
+  std::uint32_t last_process_number_ = 0;
 };
 
 }  // namespace paddlestand::test_engine
--- a/test_engine/server_commands.cpp
+++ b/test_engine/server_commands.cpp
@@ -13,9 +13,9 @@
 
 namespace paddlestand::test_engine {
 
-/// A command: its word, and what it does with the number behind it (zero where there is none).
+/// `value` is the number after the name of the command, or 0 if there is none.
 struct Server::Command {
-  std::string_view word;
+  std::string_view name;
   void (*execute)(Server& server, double value);
 };
 
@@ -27,9 +27,9 @@
       Command{"slow", [](Server& server, double factor) { server.slow_down(factor); }},
       Command{"fail", [](Server& server, double share) { server.engine_->faults.failure_share = share; }},
       Command{"lose", [](Server& server, double share) { server.engine_->faults.lost_answer_share = share; }},
-      Command{"mute-first", [](Server& server, double) { server.engine_->faults.mute_before_answer = true; }},
-      Command{"mute-mid", [](Server& server, double) { server.engine_->faults.mute_mid_answer = true; }},
-      Command{"mute-end", [](Server& server, double) { server.engine_->faults.mute_before_ready = true; }},
+      Command{"mute-first", [](Server& server, double) { server.engine_->faults.stop_before_answer = true; }},
+      Command{"mute-mid", [](Server& server, double) { server.engine_->faults.stop_mid_answer = true; }},
+      Command{"mute-end", [](Server& server, double) { server.engine_->faults.stop_before_ready = true; }},
       Command{"half-close", [](Server& server, double) { server.engine_->faults.half_close = true; }},
       Command{"full", [](Server& server, double) { server.engine_->faults.overloaded = true; }},
       Command{"drain", [](Server& server, double) { server.engine_->faults.draining = true; }},
@@ -42,23 +42,23 @@
   return all;
 }
 
-std::string Server::command(const std::string& line) {
+std::string Server::execute_command(const std::string& line) {
   std::istringstream in(line);
-  std::string word;
+  std::string name;
   double value = 0;
-  in >> word >> value;
+  in >> name >> value;
   engine_->log.write(log_event::fault_injected, "", {{"command", line}});
   const auto found = std::find_if(commands().begin(), commands().end(),
-                                  [&word](const Command& command) { return command.word == word; });
-  if (found == commands().end()) return unknown_command_text();
+                                  [&name](const Command& command) { return command.name == name; });
+  if (found == commands().end()) return unknown_command_message();
   found->execute(*this, value);
   engine_->jobs.update();
   return "ok";
 }
 
-std::string Server::unknown_command_text() {
-  std::string text = "unknown command; wanted:";
-  for (const Command& command : commands()) text += " " + std::string(command.word);
+std::string Server::unknown_command_message() {
+  std::string text = "unknown command; expected one of:";
+  for (const Command& command : commands()) text += " " + std::string(command.name);
   return text;
 }
 
@@ -67,8 +67,8 @@
   engine_->faults = {};
   engine_->jobs.model().resume(shared_clock_s());
   engine_->jobs.model().slow_down(shared_clock_s(), 1);
-  unserved_.clear();
-  for (const auto& session : engine_->live_sessions()) session->send_withheld();
+  unserved_sockets_.clear();
+  for (const auto& session : engine_->live_sessions()) session->send_withheld_output();
   if (!is_listening) listen();
 }
 
--- a/test_engine/session.cpp
+++ b/test_engine/session.cpp
@@ -25,13 +25,13 @@
 Session::Session(std::shared_ptr<EngineContext> engine, tcp::socket socket, pg::CancelKey key)
     : engine_(std::move(engine)),
       socket_(std::move(socket)),
-      key_(key),
+      cancel_key_(key),
       frames_(max_message_bytes),
-      wake_(engine_->io, steady_clock::time_point::max()) {}
+      query_end_event_(engine_->io_context, steady_clock::time_point::max()) {}
 
 Session::~Session() {
-  engine_->sessions.erase(key_.process);
-  if (job_ != 0) engine_->jobs.detach(job_);
+  engine_->sessions.erase(cancel_key_.process);
+  if (job_id_ != 0) engine_->jobs.detach(job_id_);
 }
 
 asio::awaitable<void> Session::run() {
@@ -39,7 +39,7 @@
   std::vector<char> buffer(read_buffer_bytes);
   for (;;) {
     if (!read_frames()) co_return;
-    if (is_started_ && !has_query_) process_messages();
+    if (is_logged_in_ && !has_query_) process_messages();
     if (!output_.empty() && !co_await flush()) co_return;
     if (is_closed_) co_return;
     error_code error;
@@ -53,36 +53,36 @@
   }
 }
 
-// ---- From the server ----
+// ---- Calls from the server and the job executor ----
 
 void Session::cancel() {
-  if (has_query_) engine_->log.write(log_event::query_cancelled, profile_.id);
-  if (job_ == 0) return;
-  engine_->jobs.cancel(job_);
-  job_ = 0;
+  if (has_query_) engine_->log.write(log_event::query_cancelled, query_profile_.id);
+  if (job_id_ == 0) return;
+  engine_->jobs.cancel(job_id_);
+  job_id_ = 0;
   if (engine_->faults.hang || engine_->faults.vanish) return;
   is_cancelled_ = true;
-  wake_.cancel();
+  query_end_event_.cancel();
 }
 
 void Session::on_job_end(const simulation::JobEnd& end) {
   job_end_ = end;
-  job_ = 0;
-  wake_.cancel();
+  job_id_ = 0;
+  query_end_event_.cancel();
 }
 
 void Session::send_progress() {
-  if (job_ == 0 || !socket_.is_open() || is_writing_) return;
+  if (job_id_ == 0 || !socket_.is_open() || is_writing_) return;
   const simulation::EngineModel& model = engine_->jobs.model();
   pg::Fields fields;
   fields.severity = "NOTICE";
   fields.code = sqlstate::progress_report;
-  if (model.is_waiting(job_)) {
+  if (model.is_waiting(job_id_)) {
     fields.message = "waiting";
-  } else if (model.is_spilling(job_)) {
+  } else if (model.is_spilling(job_id_)) {
     fields.message = "spilling";
   } else {
-    fields.message = "progress=" + std::to_string(model.progress_of(job_));
+    fields.message = "progress=" + std::to_string(model.progress_of(job_id_));
   }
   std::string bytes;
   pg::put_notice(bytes, fields);
@@ -91,32 +91,32 @@
 }
 
 void Session::set_terms(std::uint8_t priority, double memory_mb) {
-  if (job_ != 0) engine_->jobs.set_terms(job_, priority, memory_mb);
+  if (job_id_ != 0) engine_->jobs.set_terms(job_id_, priority, memory_mb);
 }
 
-void Session::send_withheld() {
+void Session::send_withheld_output() {
   if (output_.empty()) return;
   asio::co_spawn(
-      engine_->io, [self = shared_from_this()]() -> asio::awaitable<void> { co_await self->flush(); },
+      engine_->io_context, [self = shared_from_this()]() -> asio::awaitable<void> { co_await self->flush(); },
       asio::detached);
 }
 
 void Session::abort() {
-  if (has_query_) engine_->log.write(log_event::connection_closed, profile_.id);
+  if (has_query_) engine_->log.write(log_event::connection_closed, query_profile_.id);
   error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   socket_.close(ignored);
   is_closed_ = true;
-  wake_.cancel();
+  query_end_event_.cancel();
 }
 
 // ---- Messages ----
 
-/// Whether the connection goes on.
+/// Returns false if the connection must be closed.
 bool Session::read_frames() {
-  while (const auto frame = frames_.next(is_started_)) {
-    if (is_started_) {
-      messages_.emplace_back(frame->type, std::string(frame->body));
+  while (const auto frame = frames_.next(is_logged_in_)) {
+    if (is_logged_in_) {
+      pending_messages_.emplace_back(frame->type, std::string(frame->body));
     } else if (!on_startup(frame->body)) {
       return false;
     }
@@ -124,7 +124,7 @@
   return !frames_.bad();
 }
 
-/// Whether the connection goes on.
+/// Returns false if the connection must be closed.
 bool Session::on_startup(std::string_view body) {
   const auto message = pg::parse_startup(body);
   if (!message) return false;
@@ -134,11 +134,11 @@
   }
   if (message->code == pg::cancel_code) {
     const auto target = engine_->find_session(message->key.process);
-    if (target && target->key() == message->key) target->cancel();
+    if (target && target->cancel_key() == message->key) target->cancel();
     return false;
   }
   for (const auto& [name, value] : message->parameters) {
-    if (name == "application_name") manager_ = value;
+    if (name == "application_name") manager_name_ = value;
   }
   if (engine_->faults.draining) {
     reject_session();
@@ -159,13 +159,13 @@
   pg::put_authentication(output_, 0);
   pg::put_parameter(output_, "server_version", "15.0 (stand-in)");
   pg::put_parameter(output_, "client_encoding", "UTF8");
-  pg::put_key(output_, key_);
+  pg::put_key(output_, cancel_key_);
   pg::put_ready(output_, 'I');
-  is_started_ = true;
+  is_logged_in_ = true;
 }
 
 asio::awaitable<bool> Session::flush() {
-  // One writer at a time; it also writes what is added meanwhile.
+  // Only one coroutine writes at a time. It also writes output that is added while it runs.
   if (is_writing_ || engine_->faults.hang) co_return true;
   error_code error;
   is_writing_ = true;
@@ -179,11 +179,11 @@
   co_return !error;
 }
 
-// Up to the first query: those behind it are processed when it has ended.
+// Stops at a query; the messages behind it are processed after the query has ended.
 void Session::process_messages() {
-  while (!messages_.empty() && !is_closed_ && !has_query_) {
-    const auto [type, body] = std::move(messages_.front());
-    messages_.pop_front();
+  while (!pending_messages_.empty() && !is_closed_ && !has_query_) {
+    const auto [type, body] = std::move(pending_messages_.front());
+    pending_messages_.pop_front();
     const bool ends_skipping = type == 'S' || type == 'X';
     if (!skips_to_sync_ || ends_skipping) process_message(type, body);
   }
@@ -193,7 +193,7 @@
   switch (type) {
     case 'X': is_closed_ = true; break;
     case 'Q':
-      // NOLINTNEXTLINE(readability-redundant-string-cstr): the statement ends at the message's NUL
+      // NOLINTNEXTLINE(readability-redundant-string-cstr): the statement ends at the NUL byte
       on_simple_query(body.c_str());
       break;
     case 'P':
@@ -232,13 +232,13 @@
 }
 
 void Session::on_closed() {
-  if (has_query_) engine_->log.write(log_event::connection_closed, profile_.id);
-  if (job_ != 0) {
-    engine_->jobs.cancel(job_);
-    job_ = 0;
+  if (has_query_) engine_->log.write(log_event::connection_closed, query_profile_.id);
+  if (job_id_ != 0) {
+    engine_->jobs.cancel(job_id_);
+    job_id_ = 0;
   }
   is_closed_ = true;
-  wake_.cancel();
+  query_end_event_.cancel();
 }
 
 }  // namespace paddlestand::test_engine
--- a/test_engine/session.hpp
+++ b/test_engine/session.hpp
@@ -1,4 +1,4 @@
-/// One PostgreSQL connection to a test engine: its messages, its session settings, its query.
+/// One PostgreSQL connection to a test engine: its messages, session settings and current query.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,7 +19,7 @@
 
 namespace paddlestand::test_engine {
 
-/// Lives as long as one of its coroutines. Belongs to the event loop's thread.
+/// Kept alive by its coroutines. Used only on the thread of the event loop.
 class Session final : public std::enable_shared_from_this<Session>, public JobOwner {
  public:
   using tcp = boost::asio::ip::tcp;
@@ -29,7 +29,7 @@
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
 
-  /// Reads and serves until the connection ends.
+  /// Reads and processes messages until the connection ends.
   boost::asio::awaitable<void> run();
 
   /// Cancels the running query, if any.
@@ -39,12 +39,12 @@
   void send_progress();
   /// Replaces the priority and the memory grant of the running query, if any.
   void set_terms(std::uint8_t priority, double memory_mb);
-  /// Sends what was withheld while the engine hung.
-  void send_withheld();
-  /// Resets the connection, as the end of the engine's process does.
+  /// Sends the output that was withheld while the engine hung.
+  void send_withheld_output();
+  /// Resets the connection, as happens when the process of an engine ends.
   void abort();
 
-  [[nodiscard]] const pg::CancelKey& key() const { return key_; }
+  [[nodiscard]] const pg::CancelKey& cancel_key() const { return cancel_key_; }
 
  private:
   enum class QueryProtocol : std::uint8_t { simple, extended };
@@ -78,23 +78,23 @@
 
   std::shared_ptr<EngineContext> engine_;
   tcp::socket socket_;
-  pg::CancelKey key_;
+  pg::CancelKey cancel_key_;
   pg::FrameReader frames_;
-  boost::asio::steady_timer wake_;  // cancelled when the query ends, is cancelled, or the session is closed
-  std::deque<std::pair<char, std::string>> messages_;  // complete, not processed yet
+  boost::asio::steady_timer query_end_event_;  // cancelled on the end of the query or of the session
+  std::deque<std::pair<char, std::string>> pending_messages_;  // received completely, not processed yet
   std::string output_;
-  std::string manager_;  // its application_name
-  std::string statement_;  // parsed, in the extended protocol
+  std::string manager_name_;  // the application_name of the connection
+  std::string statement_;  // of the last Parse message
   std::uint8_t priority_ = 1;
-  double memory_mb_ = 0;
-  QueryProfile profile_;  // of the query
-  simulation::JobId job_ = 0;  // or zero
+  double memory_grant_mb_ = 0;
+  QueryProfile query_profile_;
+  simulation::JobId job_id_ = 0;  // 0: no job is running
   std::optional<simulation::JobEnd> job_end_;
   QueryProtocol protocol_ = QueryProtocol::simple;
-  bool is_started_ = false;
+  bool is_logged_in_ = false;
   bool has_query_ = false;
   bool is_cancelled_ = false;
-  bool skips_to_sync_ = false;  // after an error in the extended protocol
+  bool skips_to_sync_ = false;  // after an error in the extended query protocol
   bool is_writing_ = false;
   bool is_closed_ = false;
 };
--- a/test_engine/session_query.cpp
+++ b/test_engine/session_query.cpp
@@ -30,8 +30,8 @@
 
 // ---- Settings ----
 
-/// Executes SET, RESET, a change of terms, and the empty query of a health check. False for any other
-/// statement.
+/// Executes SET, RESET, paddlestand.set_terms() and the empty query of a health check. Returns false for any
+/// other statement.
 bool Session::execute_setting(const std::string& text) {
   const auto scanned = sql::scan(text);
   if (scanned.statements.empty()) {
@@ -69,7 +69,7 @@
   const std::string value = words.back().starts_with('\'') ? words.back().substr(1) : words.back();
   if (name == "paddlestand.priority")
     priority_ = is_set ? static_cast<std::uint8_t>(parse_number(value, 1)) : 1;
-  if (name == "work_mem") memory_mb_ = is_set ? parse_number(value, 0) : 0;
+  if (name == "work_mem") memory_grant_mb_ = is_set ? parse_number(value, 0) : 0;
   pg::put_complete(output_, is_set ? "SET" : "RESET");
 }
 
@@ -77,18 +77,18 @@
 
 void Session::begin_query(const std::string& text, QueryProtocol protocol) {
   protocol_ = protocol;
-  profile_ = read_profile(text);
-  engine_->log.write(log_event::query_received, profile_.id,
-                     {{"manager", manager_},
-                      {"link", key_.process},
-                      {"class", profile_.tag("class")},
-                      {"key", profile_.tag("key")}});
-  if (profile_.tags.contains("sim_error")) {
-    fail(profile_.tag("sim_error"), "requested by the query");
+  query_profile_ = read_profile(text);
+  engine_->log.write(log_event::query_received, query_profile_.id,
+                     {{"manager", manager_name_},
+                      {"link", cancel_key_.process},
+                      {"class", query_profile_.tag("class")},
+                      {"key", query_profile_.tag("key")}});
+  if (query_profile_.tags.contains("sim_error")) {
+    fail(query_profile_.tag("sim_error"), "requested by the query");
   } else if (engine_->faults.overloaded) {
     reject_overloaded();
-  } else if (engine_->happens(engine_->faults.failure_share)) {
-    engine_->log.write(log_event::query_failed, profile_.id);
+  } else if (engine_->draw_bernoulli(engine_->faults.failure_share)) {
+    engine_->log.write(log_event::query_failed, query_profile_.id);
     fail(sqlstate::internal_error, "the engine fails fast");
   } else {
     start_job();
@@ -96,27 +96,27 @@
 }
 
 void Session::start_job() {
-  simulation::Job job = profile_.job;
+  simulation::Job job = query_profile_.job;
   job.id = engine_->jobs.next_id();
   job.priority = priority_;
-  job.granted_mb = memory_mb_;
+  job.granted_mb = memory_grant_mb_;
   switch (engine_->jobs.start(job, weak_from_this())) {
     case simulation::Admission::accepted: break;
     case simulation::Admission::overloaded: reject_overloaded(); return;
     case simulation::Admission::crashed:
-      engine_->log.write(log_event::engine_crashed, profile_.id);
+      engine_->log.write(log_event::engine_crashed, query_profile_.id);
       fail(sqlstate::crash_shutdown, "the engine crashed");
       return;
   }
-  engine_->log.write(log_event::query_started, profile_.id);
-  job_ = job.id;
+  engine_->log.write(log_event::query_started, query_profile_.id);
+  job_id_ = job.id;
   has_query_ = true;
   asio::co_spawn(
-      engine_->io, [self = shared_from_this()] { return self->finish_query(); }, asio::detached);
+      engine_->io_context, [self = shared_from_this()] { return self->finish_query(); }, asio::detached);
 }
 
 void Session::reject_overloaded() {
-  engine_->log.write(log_event::query_rejected, profile_.id);
+  engine_->log.write(log_event::query_rejected, query_profile_.id);
   fail(sqlstate::too_many_connections, "the engine is overloaded");
 }
 
@@ -137,7 +137,7 @@
     is_cancelled_ = false;
     fail(sqlstate::query_canceled, "canceling statement due to user request");
   } else {
-    // Where the answer is withheld, the session stays open and sends nothing more.
+    // If a fault withholds the answer, the session stays open and sends nothing more.
     if (!co_await send_answer()) co_return;
   }
   has_query_ = false;
@@ -152,44 +152,44 @@
 asio::awaitable<void> Session::wait_for_end() {
   error_code woken;
   while (!is_closed_ && !is_cancelled_ && !job_end_) {
-    co_await wake_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
-    wake_.expires_at(steady_clock::time_point::max());
+    co_await query_end_event_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
+    query_end_event_.expires_at(steady_clock::time_point::max());
   }
 }
 
-/// Whether the answer was sent up to its end: faults withhold it, or a part of it.
+/// Returns false if a fault withheld the answer or a part of it.
 asio::awaitable<bool> Session::send_answer() {
   const simulation::JobEnd end = *job_end_;
   job_end_.reset();
-  engine_->log.write(log_event::query_applied, profile_.id);
-  if (engine_->happens(engine_->faults.lost_answer_share)) {
-    engine_->log.write(log_event::answer_lost, profile_.id);
+  engine_->log.write(log_event::query_applied, query_profile_.id);
+  if (engine_->draw_bernoulli(engine_->faults.lost_answer_share)) {
+    engine_->log.write(log_event::answer_lost, query_profile_.id);
     co_return false;
   }
-  if (engine_->faults.mute_before_answer) co_return false;
+  if (engine_->faults.stop_before_answer) co_return false;
   if (protocol_ == QueryProtocol::simple) put_description();
   if (!co_await send_rows()) co_return false;
-  pg::put_complete(output_, "SELECT " + std::to_string(profile_.rows));
+  pg::put_complete(output_, "SELECT " + std::to_string(query_profile_.rows));
   pg::put_parameter(output_, "paddlestand.work_ms", std::to_string(end.work * 1000));
   pg::put_parameter(output_, "paddlestand.memory_mb", std::to_string(end.memory_mb));
-  if (engine_->faults.mute_before_ready) {
+  if (engine_->faults.stop_before_ready) {
     co_await flush();
     co_return false;
   }
   if (protocol_ == QueryProtocol::simple) put_ready();
-  engine_->log.write(log_event::query_answered, profile_.id);
+  engine_->log.write(log_event::query_answered, query_profile_.id);
   co_return true;
 }
 
 asio::awaitable<bool> Session::send_rows() {
-  const bool stops_halfway = engine_->faults.mute_mid_answer;
-  const std::string value(profile_.row_bytes, 'x');
+  const bool stops_halfway = engine_->faults.stop_mid_answer;
+  const std::string value(query_profile_.row_bytes, 'x');
   const std::string_view cell = value;
-  for (std::size_t i = 0; i < profile_.rows; ++i) {
+  for (std::size_t i = 0; i < query_profile_.rows; ++i) {
     pg::put_row(output_, {&cell, 1});
-    if (stops_halfway && i >= profile_.rows / 2) {
+    if (stops_halfway && i >= query_profile_.rows / 2) {
       co_await flush();
-      engine_->log.write(log_event::answer_truncated, profile_.id);
+      engine_->log.write(log_event::answer_truncated, query_profile_.id);
       co_return false;
     }
     const bool is_buffer_full = output_.size() >= flush_threshold_bytes;
@@ -199,7 +199,7 @@
 }
 
 void Session::put_description() {
-  pg::Column column;  // of text, of variable size
+  pg::Column column;  // text of variable size
   column.name = "value";
   pg::put_row_description(output_, {&column, 1});
 }
--- a/test_engine/sqlstates.hpp
+++ b/test_engine/sqlstates.hpp
@@ -9,6 +9,6 @@
 inline constexpr const char* crash_shutdown = "57P02";
 inline constexpr const char* cannot_connect_now = "57P03";
 inline constexpr const char* progress_report =
-    "01P5T";  // a notice of paddlestand's own (docs/engine-protocol.md)
+    "01P5T";  // a notice specific to paddlestand (docs/engine-protocol.md)
 
 }  // namespace paddlestand::test_engine::sqlstate
--- a/test_engine/truth_log.hpp
+++ b/test_engine/truth_log.hpp
@@ -1,4 +1,4 @@
-/// The ground truth of a test engine: what became of each query, one JSON object a line.
+/// The ground-truth log of a test engine: the events of each query, one JSON object per line.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 
 namespace log_event = trace_checker::log_event;
 
-/// The clock of all logs on one machine: monotonic, in nanoseconds.
-std::int64_t shared_clock();
-/// The same in seconds.
+/// Monotonic clock that all logs on one machine share, in nanoseconds.
+std::int64_t shared_clock_ns();
+/// The same clock in seconds.
 double shared_clock_s();
 
-/// Owns the log's file. Belongs to one thread.
+/// Owns the log file. Not thread-safe.
 class TruthLog {
  public:
-  /// Appends to `path`; an empty path, or one that can't be opened, writes nothing.
+  /// Appends to `path`. Writes nothing if the path is empty or the file cannot be opened.
   TruthLog(std::string engine, const std::string& path);
 
-  /// `event` is one of log_event; `id` the query's sim_id, or empty. Flushes each line, so that it survives
-  /// a killed process.
+  /// `event` is a value of log_event; `id` is the sim_id of the query, or empty. Flushes each line, so that
+  /// no line is lost if the process is killed.
   void write(std::string_view event, const std::string& id);
-  /// Adds the members of `more`, an object, to the line.
-  void write(std::string_view event, const std::string& id, const nlohmann::json& more);
+  /// As above, with the members of the JSON object `members` added to the line.
+  void write(std::string_view event, const std::string& id, const nlohmann::json& members);
 
  private:
   struct CloseFile {
