--- a/apps/day.cpp
+++ b/apps/day.cpp
@@ -39,7 +39,7 @@
 int report_verdict(const trace_checker::Verdict& verdict, const std::vector<std::string>& problems,
                    const std::string& report_file) {
   for (const trace_checker::RuleViolation& violation : verdict.violations) {
-    std::cout << "rule " << violation.rule << ": " << violation.what << "\n";
+    std::cout << "rule " << violation.rule << ": " << violation.description << "\n";
     for (const std::string& line : violation.history) std::cout << "    " << line << "\n";
   }
   for (const std::string& problem : problems) std::cout << "problem: " << problem << "\n";
--- a/tests/trace_checker/trace_checker_test.cpp
+++ b/tests/trace_checker/trace_checker_test.cpp
@@ -1,4 +1,4 @@
-/// The trace checker reports a violation of each rule in a log that holds one, and none in a correct log.
+/// Tests that the trace checker reports violations of each rule, and none in a correct log.
 #include "trace_checker/trace_checker.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 constexpr std::int64_t ms = 1'000'000;
 
-/// A log under construction, and the parameters of its day. Times in milliseconds.
+/// Builds a log and the parameters of its day. Times are in milliseconds.
 class TestLog {
  public:
   TestLog() {
@@ -27,11 +27,11 @@
     parameters.budget_window_s = 5;
   }
 
-  Record& add(std::int64_t at, const char* what, const std::string& id) {
+  Record& add(std::int64_t at, const char* event, const std::string& id) {
     Record& record = records.emplace_back();
-    record.t = at * ms;
-    record.what = what;
-    record.id = id;
+    record.time_ns = at * ms;
+    record.event = event;
+    record.attempt_id = id;
     return record;
   }
   void add_request(std::int64_t at, const std::string& id, const char* class_name, const char* key = "") {
@@ -39,7 +39,7 @@
     record.class_name = class_name;
     record.key = key;
     record.manager = "m1";
-    record.request = std::stol(id);
+    record.request_number = std::stol(id);
     record.client_timeout_ms = 1000;
   }
   void add_answer(std::int64_t at, const std::string& id, const char* kind) {
@@ -63,7 +63,7 @@
     record.state = state;
   }
 
-  /// Violations by rule.
+  /// Returns the number of violations by rule.
   [[nodiscard]] std::map<int, std::size_t> check_rules() const { return check(parameters, records).by_rule; }
 
   DayParameters parameters;
@@ -126,7 +126,7 @@
 
 TEST(TraceChecker, Rule2ReportsDuplicateResendAndRejectionAfterExecution) {
   TestLog twice = correct_log();
-  twice.add_run("1.0", "e2", 20, 95);  // while it was in flight at e1
+  twice.add_run("1.0", "e2", 20, 95);  // still in flight at e1
   EXPECT_EQ(twice.check_rules().count(2), 1U);
 
   TestLog resent = correct_log();
@@ -205,7 +205,7 @@
 }
 
 TEST(TraceChecker, Rule7ReportsExceededRetryBudget) {
-  TestLog log = correct_log();  // one retry so far, of a budget of one and a tenth of the requests
+  TestLog log = correct_log();  // has one retry; the budget is 1 plus a tenth of the requests
   for (int i = 10; i < 14; ++i) {
     const std::string id = std::to_string(i) + ".0";
     log.add_request(1000 + i, id, "lookup");
--- a/trace_checker/logs.cpp
+++ b/trace_checker/logs.cpp
@@ -11,22 +11,22 @@
 namespace paddlestand::trace_checker {
 namespace {
 
-/// Maps the keys of a log's line to the members of a record. Empty where the line is not an event.
+/// Maps the keys of a log line to the members of a record. Returns nullopt if the line is not an event.
 std::optional<Record> parse_record(const std::string& line) {
   const auto json = nlohmann::json::parse(line, nullptr, false);
   if (!json.is_object() || !json.contains("t") || !json.contains("what")) return std::nullopt;
   const auto text = [&json](const char* name) { return json.value(name, std::string{}); };
   Record record;
-  record.t = json["t"].get<std::int64_t>();
-  record.what = json["what"].get<std::string>();
-  record.id = text("id");
+  record.time_ns = json["t"].get<std::int64_t>();
+  record.event = json["what"].get<std::string>();
+  record.attempt_id = text("id");
   record.class_name = text("class");
   record.key = text("key");
   record.manager = text("manager");
   record.engine = text("engine");
   record.kind = text("kind");
   record.state = text("state");
-  record.request = json.value("request", std::int64_t{0});
+  record.request_number = json.value("request", std::int64_t{0});
   record.client_timeout_ms = json.value("patience_ms", 0.0);
   record.is_retry_safe = json.value("harmless", false);
   return record;
--- a/trace_checker/report.cpp
+++ b/trace_checker/report.cpp
@@ -1,4 +1,5 @@
-// Verdicts as text and as JSON. The keys of the JSON are a file format and differ from the code's terms.
+// Formats verdicts as text and as JSON. The JSON keys are a file format and differ from the terms of the
+// code.
 #include <nlohmann/json.hpp>
 #include <sstream>
 
@@ -27,7 +28,7 @@
   report["breaches"] = nlohmann::json::array();
   for (const RuleViolation& violation : verdict.violations) {
     report["breaches"].push_back(
-        {{"rule", violation.rule}, {"what", violation.what}, {"history", violation.history}});
+        {{"rule", violation.rule}, {"what", violation.description}, {"history", violation.history}});
   }
   for (const auto& [rule, count] : verdict.by_rule) report["by_rule"][std::to_string(rule)] = count;
   return report.dump(2);
--- a/trace_checker/trace.cpp
+++ b/trace_checker/trace.cpp
@@ -10,90 +10,93 @@
 namespace paddlestand::trace_checker {
 namespace {
 
-bool ends_run(std::string_view what) {
-  return what == log_event::query_answered || what == log_event::query_cancelled ||
-         what == log_event::connection_closed || what == log_event::query_failed ||
-         what == log_event::query_rejected || what == log_event::engine_crashed;
+bool ends_run(std::string_view event) {
+  return event == log_event::query_answered || event == log_event::query_cancelled ||
+         event == log_event::connection_closed || event == log_event::query_failed ||
+         event == log_event::query_rejected || event == log_event::engine_crashed;
 }
 
-/// Puts the records together in order of time. Used once.
+/// Processes the records in order of time. build() may be called once.
 class TraceBuilder {
  public:
   explicit TraceBuilder(std::vector<Record> records) {
     trace_.records = std::move(records);
-    std::stable_sort(trace_.records.begin(), trace_.records.end(),
-                     [](const Record& first, const Record& second) { return first.t < second.t; });
+    std::stable_sort(
+        trace_.records.begin(), trace_.records.end(),
+        [](const Record& first, const Record& second) { return first.time_ns < second.time_ns; });
   }
 
   Trace build() {
     for (const Record& record : trace_.records) {
       add_event(record);
-      if (!record.id.empty()) add_to_attempt(record, trace_.attempts[record.id]);
+      if (!record.attempt_id.empty()) add_to_attempt(record, trace_.attempts[record.attempt_id]);
     }
     return std::move(trace_);
   }
 
  private:
   void add_event(const Record& record) {
-    if (record.what == log_event::engine_listed) trace_.listings[record.engine].push_back(&record);
-    if (record.what == log_event::manager_killed) trace_.killed[record.manager].push_back(record.t);
-    if (record.what == log_event::manager_shut_down) trace_.shut_down[record.manager].push_back(record.t);
-    if (record.what == log_event::engine_exited || record.what == log_event::engine_started)
-      end_all_runs(record.engine, record.t);
+    if (record.event == log_event::engine_listed) trace_.listings[record.engine].push_back(&record);
+    if (record.event == log_event::manager_killed) trace_.killed[record.manager].push_back(record.time_ns);
+    if (record.event == log_event::manager_shut_down)
+      trace_.shut_down[record.manager].push_back(record.time_ns);
+    if (record.event == log_event::engine_exited || record.event == log_event::engine_started)
+      end_all_runs(record.engine, record.time_ns);
   }
 
   void add_to_attempt(const Record& record, ClientAttempt& attempt) {
     attempt.history.push_back(&record);
-    if (record.what == log_event::request_sent) {
+    if (record.event == log_event::request_sent) {
       attempt.request = record;
-      trace_.attempts_of_request[record.request].push_back(record.id);
-    } else if (record.what == log_event::answer_received) {
+      trace_.attempts_of_request[record.request_number].push_back(record.attempt_id);
+    } else if (record.event == log_event::answer_received) {
       attempt.answer = record;
       ++attempt.answers;
       ++trace_.answers[attempt.request.class_name][record.kind];
-    } else if (record.what == log_event::surplus_message) {
+    } else if (record.event == log_event::surplus_message) {
       ++attempt.surplus_messages;
-    } else if (record.what == log_event::query_received) {
+    } else if (record.event == log_event::query_received) {
       begin_run(record, attempt);
-    } else if (record.what == log_event::query_started || record.what == log_event::query_applied) {
-      if (EngineRun* run = find_run(record.id, record.engine)) {
+    } else if (record.event == log_event::query_started || record.event == log_event::query_applied) {
+      if (EngineRun* run = find_last_run(record.attempt_id, record.engine)) {
         run->was_started = true;
-        run->was_applied = run->was_applied || record.what == log_event::query_applied;
+        run->was_applied = run->was_applied || record.event == log_event::query_applied;
       }
-    } else if (ends_run(record.what)) {
-      end_run(record.id, record.engine, record.t);
-      running_[record.engine].erase(record.id);
-      if (record.what == log_event::engine_crashed) trace_.crashes.push_back(&record);
+    } else if (ends_run(record.event)) {
+      end_run(record.attempt_id, record.engine, record.time_ns);
+      running_attempts_[record.engine].erase(record.attempt_id);
+      if (record.event == log_event::engine_crashed) trace_.crashes.push_back(&record);
     }
   }
 
   void begin_run(const Record& record, ClientAttempt& attempt) {
-    attempt.runs.push_back({record.engine, record.t, never, false, false});
-    last_run_[{record.engine, record.id}] = attempt.runs.size() - 1;
-    running_[record.engine].insert(record.id);
+    attempt.runs.push_back({record.engine, record.time_ns, never, false, false});
+    last_run_index_[{record.engine, record.attempt_id}] = attempt.runs.size() - 1;
+    running_attempts_[record.engine].insert(record.attempt_id);
     ++trace_.engine_attempts;
-    if (attempt.runs.size() > 1) trace_.retries[attempt.request.manager].push_back(record.t);
+    if (attempt.runs.size() > 1) trace_.retries[attempt.request.manager].push_back(record.time_ns);
   }
 
   void end_run(const std::string& id, const std::string& engine, std::int64_t time) {
-    if (EngineRun* run = find_run(id, engine)) run->ended = std::min(run->ended, time);
+    if (EngineRun* run = find_last_run(id, engine)) run->ended_ns = std::min(run->ended_ns, time);
   }
 
   void end_all_runs(const std::string& engine, std::int64_t time) {
-    for (const std::string& id : running_[engine]) end_run(id, engine, time);
-    running_[engine].clear();
+    for (const std::string& id : running_attempts_[engine]) end_run(id, engine, time);
+    running_attempts_[engine].clear();
   }
 
-  /// The last one of the attempt at that engine; null where there is none.
-  EngineRun* find_run(const std::string& id, const std::string& engine) {
-    const auto found = last_run_.find({engine, id});
-    if (found == last_run_.end()) return nullptr;
+  /// Returns the last run of the attempt on the engine, or null if there is none.
+  EngineRun* find_last_run(const std::string& id, const std::string& engine) {
+    const auto found = last_run_index_.find({engine, id});
+    if (found == last_run_index_.end()) return nullptr;
     return &trace_.attempts[id].runs[found->second];
   }
 
   Trace trace_;
-  std::map<std::pair<std::string, std::string>, std::size_t> last_run_;  // by engine and attempt: its index
-  std::map<std::string, std::set<std::string>> running_;  // by engine
+  std::map<std::pair<std::string, std::string>, std::size_t>
+      last_run_index_;  // index into ClientAttempt::runs, by engine and attempt
+  std::map<std::string, std::set<std::string>> running_attempts_;  // ids, by engine
 };
 
 }  // namespace
