--- a/tests/compatibility/day_logs_test.sh
+++ b/tests/compatibility/day_logs_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# day_logs_test.sh PROGRAM: logs that were recorded by an earlier version are judged as they were then.
+# day_logs_test.sh PROGRAM: checks that logs recorded by an earlier version still give the same verdict.
 set -euo pipefail
 program=$1
 cd "$(dirname "$0")"
--- a/tests/compatibility/histories_test.sh
+++ b/tests/compatibility/histories_test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# histories_test.sh PROGRAM [with-defects]: every history of the first format is played with the same moves and the
-# same verdict as when it was written: the exit code, and how many moves were possible.
+# histories_test.sh PROGRAM [with-defects]: replays every history in the first format and checks that the number of
+# possible moves and the exit code are the same as when the history was recorded.
 set -euo pipefail
 program=$1
 suffix=${2:-expected}
@@ -13,4 +13,4 @@
   diff <(echo "$moves, exit $code") "${history%.history}.$suffix" || { echo "$history"; exit 1; }
   count=$((count + 1))
 done
-[ "$count" -ge 4 ] || { echo "only $count histories"; exit 1; }
+[ "$count" -ge 4 ] || { echo "found $count histories, expected at least 4"; exit 1; }
