--- a/bench/byte_relay.cpp
+++ b/bench/byte_relay.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t buffer_bytes = std::size_t{64} * 1024;
 
-/// Copies one direction of a connection until either side ends.
+/// Copies one direction of a connection until either side closes it.
 asio::awaitable<void> copy_bytes(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to) {
   std::vector<char> buffer(buffer_bytes);
   error_code error;
--- a/bench/child_process.cpp
+++ b/bench/child_process.cpp
@@ -26,7 +26,7 @@
                       << engine_port << R"("/></engines><log level="warning"/></manager>)";
 }
 
-/// Polls the file in which the manager writes its port. 0 where it is not written in time.
+/// Polls the file to which the manager writes its port. Returns 0 on timeout.
 std::uint16_t wait_for_port(const std::string& path) {
   std::uint16_t port = 0;
   for (int i = 0; i < max_port_polls && port == 0; ++i) {
--- a/bench/child_process.hpp
+++ b/bench/child_process.hpp
@@ -1,4 +1,4 @@
-/// The processes that are measured, as children of the bench.
+/// The measured processes, started as children of the benchmark.
 #pragma once
 
 #include <boost/process.hpp>
@@ -9,7 +9,7 @@
 
 namespace paddlestand::bench {
 
-/// A child process that ends with its object.
+/// A child process that is terminated by the destructor.
 class ChildProcess {
  public:
   ChildProcess(const std::string& program, const std::vector<std::string>& arguments);
@@ -17,7 +17,7 @@
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  /// Waits for the port that the child prints (print_port()). 0 where it ends before.
+  /// Waits for the port that the child prints (print_port()). Returns 0 if the child ends first.
   [[nodiscard]] std::uint16_t read_port();
   [[nodiscard]] int id() const { return child_.id(); }
 
@@ -26,16 +26,17 @@
   boost::process::child child_;
 };
 
-/// `paddlestand serve` before one engine.
+/// `paddlestand serve` with one engine.
 class ManagerProcess {
  public:
-  /// Starts `program` and waits until it listens. Its files are in `folder`; `engine_cores` limits admission.
+  /// Starts `program` and waits until it listens. Writes its files to `folder`; `engine_cores` limits
+  /// admission.
   ManagerProcess(const std::string& program, const std::string& folder, std::uint16_t engine_port,
                  int engine_cores);
 
-  /// 0 where it did not listen in time.
+  /// Returns 0 if the manager did not listen in time.
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  /// Memory in use, in KiB; -1 where the process has ended.
+  /// Returns the resident memory in KiB, or -1 if the process has ended.
   [[nodiscard]] long resident_kb() const;
 
  private:
--- a/bench/instant_engine.cpp
+++ b/bench/instant_engine.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t max_message_bytes = std::size_t{1} << 20U;
 constexpr std::size_t read_buffer_bytes = 16384;
 
-/// The bytes of a complete answer with at least so many bytes of rows.
+/// Returns a complete answer with at least `bytes` bytes of row values.
 std::string make_answer(std::size_t bytes) {
   std::string out;
   const pg::Column column{"v"};
@@ -40,13 +40,13 @@
   return out;
 }
 
-/// The answers to queries, made once.
+/// The prepared answers.
 struct Answers {
   std::string small = make_answer(small_answer_bytes);
   std::string big = make_answer(big_answer_bytes);
 };
 
-void append_login(std::string& out) {
+void append_login_response(std::string& out) {
   pg::put_authentication(out, 0);
   pg::put_key(out, {1, 1});
   pg::put_ready(out, 'I');
@@ -77,7 +77,7 @@
     out.clear();
     while (const auto frame = frames.next(is_logged_in)) {
       if (!is_logged_in) {
-        append_login(out);
+        append_login_response(out);
         is_logged_in = true;
       } else if (frame->type == 'Q') {
         append_answer(out, frame->body, answers);
--- a/bench/instant_engine.hpp
+++ b/bench/instant_engine.hpp
@@ -1,9 +1,10 @@
-/// An engine that answers each query at once from a buffer, so that a measurement is not of the engine.
+/// An engine that answers each query immediately from a buffer, so that its cost does not dominate a
+/// measurement.
 #pragma once
 
 namespace paddlestand::bench {
 
-/// Serves on a port of its own, which it prints, until the process ends.
+/// Listens on a port chosen by the system, prints it, and serves until the process ends.
 void run_instant_engine();
 
 }  // namespace paddlestand::bench
--- a/bench/load_generator.hpp
+++ b/bench/load_generator.hpp
@@ -1,4 +1,4 @@
-/// Clients in closed loops against one port, and what they measure.
+/// Closed-loop clients that put load on one port and measure throughput and latency.
 #pragma once
 
 #include <algorithm>
@@ -29,14 +29,14 @@
 inline tcp::endpoint loopback(std::uint16_t port) { return {asio::ip::address_v4::loopback(), port}; }
 
 struct LoadResult {
-  double per_s = 0;
+  double answers_per_s = 0;
   double p50_us = 0;
   double p99_us = 0;
-  std::size_t rejected = 0;
+  std::size_t rejected_count = 0;
   double rejected_p50_us = 0;
 };
 
-/// Sorts `values`. Zero where there are none.
+/// Sorts `values`. Returns 0 if there are none.
 inline double quantile(std::vector<double>& values, double share) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
@@ -46,22 +46,23 @@
 inline const std::vector<std::pair<std::string, std::string>> session_parameters{{"user", "bench"},
                                                                                  {"database", "bench"}};
 
-/// Clients that each send a query as soon as the last one is answered. All begin together.
-class Load {
+/// Runs clients that each send the next query when the last one is answered. All clients start together,
+/// after every client has logged in.
+class LoadGenerator {
  public:
-  Load(std::uint16_t port, int clients, std::string text, std::chrono::milliseconds length)
-      : port_(port), clients_(clients), text_(std::move(text)), length_(length) {}
+  LoadGenerator(std::uint16_t port, int clients, std::string statement, std::chrono::milliseconds duration)
+      : port_(port), client_count_(clients), statement_(std::move(statement)), duration_(duration) {}
 
-  /// Blocks until the load has ended. To be called once.
+  /// Blocks until the load has ended. May be called once.
   LoadResult run() {
-    for (int i = 0; i < clients_; ++i) asio::co_spawn(io_, run_client(), asio::detached);
+    for (int i = 0; i < client_count_; ++i) asio::co_spawn(io_, run_client(), asio::detached);
     io_.run();
     LoadResult result;
     const double span_s = std::chrono::duration<double>(last_answer_ - start_).count();
-    result.per_s = static_cast<double>(served_us_.size() + rejected_us_.size()) / span_s;
+    result.answers_per_s = static_cast<double>(served_us_.size() + rejected_us_.size()) / span_s;
     result.p50_us = quantile(served_us_, 0.5);
     result.p99_us = quantile(served_us_, 0.99);
-    result.rejected = rejected_us_.size();
+    result.rejected_count = rejected_us_.size();
     result.rejected_p50_us = quantile(rejected_us_, 0.5);
     return result;
   }
@@ -87,9 +88,9 @@
     pg::put_startup(bytes, session_parameters);
     const Answer startup = co_await exchange(client, bytes);
     if (startup == Answer::connection_lost) co_return;
-    co_await wait_for_all();
+    co_await wait_for_all_clients();
     bytes.clear();
-    pg::put_query(bytes, text_);
+    pg::put_query(bytes, statement_);
     do {
       const auto sent_at = steady_clock::now();
       const Answer answer = co_await exchange(client, bytes);
@@ -98,19 +99,19 @@
     } while (last_answer_ < end_);
   }
 
-  asio::awaitable<void> wait_for_all() {
-    ++ready_clients_;
-    if (ready_clients_ == clients_) {
+  asio::awaitable<void> wait_for_all_clients() {
+    ++ready_client_count_;
+    if (ready_client_count_ == client_count_) {
       start_ = steady_clock::now();
-      end_ = start_ + length_;
-      all_ready_.cancel();
+      end_ = start_ + duration_;
+      all_clients_ready_.cancel();
     } else {
       error_code ignored;
-      co_await all_ready_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+      co_await all_clients_ready_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
   }
 
-  /// Sends a message and reads up to ReadyForQuery.
+  /// Sends a message and reads messages up to ReadyForQuery.
   asio::awaitable<Answer> exchange(Client& client, const std::string& bytes) {
     error_code error;
     co_await asio::async_write(client.socket, asio::buffer(bytes),
@@ -139,12 +140,13 @@
   }
 
   asio::io_context io_{1};
-  asio::steady_timer all_ready_{io_, steady_clock::time_point::max()};  // cancelled when all are
+  asio::steady_timer all_clients_ready_{
+      io_, steady_clock::time_point::max()};  // cancelled when all clients are ready
   std::uint16_t port_;
-  int clients_;
-  int ready_clients_ = 0;
-  std::string text_;
-  std::chrono::milliseconds length_;
+  int client_count_;
+  int ready_client_count_ = 0;
+  std::string statement_;
+  std::chrono::milliseconds duration_;
   steady_clock::time_point start_;
   steady_clock::time_point last_answer_;
   steady_clock::time_point end_;
--- a/bench/print_port.hpp
+++ b/bench/print_port.hpp
@@ -1,4 +1,4 @@
-/// How a child process tells its parent the port that it listens on.
+/// Reports the port of a child process to its parent through standard output.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace paddlestand::bench {
 
-/// Prints the port on a line of its own, at once.
+/// Prints the port on a separate line and flushes the output.
 inline void print_port(std::uint16_t port) {
   std::printf("%u\n", port);
   std::fflush(stdout);
