--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -33,7 +33,7 @@
   explicit Engine(test_engine::TestEngineSettings settings = {})
       : Thread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
   std::string command(const std::string& line) {
-    return run([&](test_engine::Server& server) { return server.command(line); });
+    return run([&](test_engine::Server& server) { return server.execute_command(line); });
   }
 };
 
