--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -35,7 +35,7 @@
   /// Executes a command of the engine's control port, such as one that injects a fault, and returns its
   /// reply.
   std::string command(const std::string& line) {
-    return run([&](test_engine::Server& server) { return server.command(line); });
+    return run([&](test_engine::Server& server) { return server.execute_command(line); });
   }
 };
 
