--- a/tests/clients/libpq_test.cpp
+++ b/tests/clients/libpq_test.cpp
@@ -40,7 +40,7 @@
   }
 
   Engine engine_;
-  Thread<PostgresServer> manager_;
+  EventLoopThread<PostgresServer> manager_;
 };
 
 TEST_F(Libpq, ExecutesQueriesAndReadsErrors) {
@@ -111,7 +111,7 @@
 TEST_F(Libpq, CancelsARunningQuery) {
   const auto connection = connect();
   ASSERT_EQ(PQsendQuery(connection.get(), "select 1 /*sim_work_ms='60000'*/"), 1);
-  ASSERT_TRUE(comes_true([&] {
+  ASSERT_TRUE(wait_until([&] {
     return manager_.run([](PostgresServer& server) { return server.counts().attempts_out; }) == 1;
   }));
 
--- a/tests/hosted.hpp
+++ b/tests/hosted.hpp
@@ -1,4 +1,4 @@
-// What runs on a loop of its own, on a thread of its own, for tests over sockets.
+// Runs a server on its own event loop and thread, for tests over sockets.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,45 +13,47 @@
 
 using namespace std::chrono_literals;
 
-// Long enough for any machine; nothing is asserted of how long things take.
+// Long enough for slow machines; tests assert no durations with it.
 inline constexpr int client_timeout_ms = 20000;
 
-template <typename Hosted>
-class Thread {
+// Owns a server created by `make`, with its event loop and thread.
+template <typename Server>
+class EventLoopThread {
  public:
   template <typename Make>
-  explicit Thread(Make make) : io_(1) {
-    hosted_ = make(io_);
-    hosted_->start();
+  explicit EventLoopThread(Make make) : io_(1) {
+    server_ = make(io_);
+    server_->start();
     thread_ = std::thread([this] { io_.run(); });
   }
-  ~Thread() {
+  ~EventLoopThread() {
     io_.stop();
     thread_.join();
-    hosted_.reset();
+    server_.reset();
   }
-  Thread(const Thread&) = delete;
-  Thread& operator=(const Thread&) = delete;
+  EventLoopThread(const EventLoopThread&) = delete;
+  EventLoopThread& operator=(const EventLoopThread&) = delete;
 
+  // Runs `f` on the event loop and returns its result.
   template <typename F>
   auto run(F f) {
-    std::promise<decltype(f(*hosted_))> done;
-    boost::asio::post(io_, [&] { done.set_value(f(*hosted_)); });
+    std::promise<decltype(f(*server_))> done;
+    boost::asio::post(io_, [&] { done.set_value(f(*server_)); });
     return done.get_future().get();
   }
-  Hosted& operator*() { return *hosted_; }
-  Hosted* operator->() { return hosted_.get(); }
+  Server& operator*() { return *server_; }
+  Server* operator->() { return server_.get(); }
 
  private:
   boost::asio::io_context io_;
-  std::unique_ptr<Hosted> hosted_;
+  std::unique_ptr<Server> server_;
   std::thread thread_;
 };
 
-// Until it is so, or long has passed.
-inline bool comes_true(const std::function<bool()>& what) {
+// Waits until the condition is true. Returns false if it is not within client_timeout_ms.
+inline bool wait_until(const std::function<bool()>& condition) {
   for (int i = 0; i < client_timeout_ms / 5; ++i) {
-    if (what()) return true;
+    if (condition()) return true;
     std::this_thread::sleep_for(5ms);
   }
   return false;
--- a/tests/incidents/counting_engine.hpp
+++ b/tests/incidents/counting_engine.hpp
@@ -68,7 +68,7 @@
     }
     for (auto candidate = connections_.begin(); candidate != connections_.end();) {
       bool ended = false;
-      while (const auto frame = candidate->peer.next_if_here(ended)) {
+      while (const auto frame = candidate->peer.next_if_received(ended)) {
         if (is(*frame, engine_frames::Command::request)) start_attempt(*candidate, frame->id);
         if (is(*frame, engine_frames::Command::cancel)) candidate->active_attempts.erase(frame->id);
         on_frame(*candidate, *frame);
@@ -95,7 +95,7 @@
 
  private:
   void start_attempt(Connection& connection, std::uint64_t id) {
-    reused_ids_ += connection.peer.ids.insert(id).second ? 0 : 1;
+    reused_ids_ += connection.peer.request_ids.insert(id).second ? 0 : 1;
     // A duplicate on the same connection counts as a second attempt, too.
     const std::size_t before = active_attempts(id);
     connection.active_attempts.insert(id);
--- a/tests/incidents/earlier_ends_test.cpp
+++ b/tests/incidents/earlier_ends_test.cpp
@@ -32,12 +32,12 @@
 // attempt.
 TEST_F(EngineThatDoesNotRead, HasNoAttemptOnceTheNextOneBegins) {
   ASSERT_TRUE(client().wire().write(large_request(next_number())));
-  ASSERT_TRUE(comes_true([&] { return engine(0).has_input() || engine(1).has_input(); }));
+  ASSERT_TRUE(wait_until([&] { return engine(0).has_input() || engine(1).has_input(); }));
 
   CountingEngine& non_reading_engine = engine(0).has_input() ? engine(0) : engine(1);
   CountingEngine& other = engine(0).has_input() ? engine(1) : engine(0);
   Connection* second = nullptr;
-  ASSERT_TRUE(comes_true([&] {
+  ASSERT_TRUE(wait_until([&] {
     other.poll([&](Connection& connection, const auto& frame) {
       second = frame.id == request_trace ? &connection : second;
     });
@@ -77,7 +77,7 @@
   discovery_peer.send_event(2, {removed});
   discovery_peer.send_event(3, {ready});
   const std::string ready_is_logged = R"("event":"engine_updated","engine":1,"state":1,"discovery_event":3})";
-  ASSERT_TRUE(comes_true([&] { return manager().log().find(ready_is_logged) != std::string::npos; }));
+  ASSERT_TRUE(wait_until([&] { return manager().log().find(ready_is_logged) != std::string::npos; }));
 
   client().send_request(next_number(), request_trace);
   std::uint64_t on_connection = 0;
--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -69,7 +69,7 @@
     first.answer(code, 0x51);
     std::optional<engine_frames::Frame> repeated;
     std::optional<EnginePeer> other;
-    EXPECT_TRUE(comes_true([&] {
+    EXPECT_TRUE(wait_until([&] {
       repeated = first.next(1);
       if (repeated) return true;
       EnginePeer side = EnginePeer(engine_listeners_[0], 1);
@@ -99,7 +99,7 @@
   for (int id = 1; id <= 6; ++id) {
     client.send_request(id, 0x60U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
-    EXPECT_TRUE(comes_true([&] {
+    EXPECT_TRUE(wait_until([&] {
       if (EnginePeer side(engine_listeners_[1], 1); side.is_open()) sides.push_back(std::move(side));
       for (EnginePeer& side : sides) {
         request = side.next(1);
@@ -112,10 +112,10 @@
     EXPECT_EQ(client.outcome(), "served:a\tb\tc\n") << id;
   }
   late_listener.accept_all();
-  EXPECT_TRUE(comes_true([&] { return server.counts().channels == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().channels == 0; }));
 
   const std::size_t open = sides.size();
-  EXPECT_TRUE(comes_true([&] { return server.engine_connections() <= open; }));
+  EXPECT_TRUE(wait_until([&] { return server.engine_connections() <= open; }));
 
   for (;;) {
     EnginePeer side(late_listener, 1500);
@@ -137,7 +137,7 @@
   RawClient client(server.port());
 
   client.send_request(1, 0x71);
-  EXPECT_TRUE(comes_true([&] { return server.counts().attempts_out == 1; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().attempts_out == 1; }));
 
   discovery_peer.send_event(2, {engine_record(1, opening.port(), EngineState::draining),
                                 engine_record(2, engine_listeners_[1].port())});
@@ -201,7 +201,7 @@
     return 0;
   });
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
-  EXPECT_TRUE(comes_true([&] { return server.engine_connections() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.engine_connections() == 0; }));
 }
 
 // A duplicate of an answer arrives after the next request on the connection: it is not matched to any
--- a/tests/platform/client_close_test.cpp
+++ b/tests/platform/client_close_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_FALSE(client.wire().was_reset());
 
   client.wire().close();
-  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
 }
 
 TEST_F(ClientCloseTest, ARequestAfterTheShutdownIsDroppedAndTheConnectionNotReset) {
@@ -42,7 +42,7 @@
   const auto request = engine.next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->id, 0x22U);
-  EXPECT_TRUE(comes_true([&] { return server.dropped_bytes() == RawClient::request_line(1, 0x21).size(); }));
+  EXPECT_TRUE(wait_until([&] { return server.dropped_bytes() == RawClient::request_line(1, 0x21).size(); }));
   EXPECT_TRUE(client.wire().is_shut_down_by_peer());
   EXPECT_FALSE(client.wire().was_reset());
 
@@ -56,7 +56,7 @@
   RawClient client(server.port());
   client.wire().write("noise\n");
   EXPECT_TRUE(client.wire().is_shut_down_by_peer());
-  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
 }
 
 TEST_F(ClientCloseTest, AClientThatKeepsWritingAfterItsRejectionIsClosed) {
@@ -68,7 +68,7 @@
   std::size_t written = 0;
   while (written < 256 * more.size() && client.wire().write(more)) written += more.size();
   EXPECT_LT(written, 256 * more.size());
-  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
 }
 
 // Every read ends inside a message for longer than the time limit of a message, but each message is completed
@@ -127,19 +127,19 @@
   cancelling_client.send_request(1, 0x41);
   closing_client.send_request(1, 0x42);
   resetting_client.send_request(1, 0x43);
-  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 3; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 3; }));
 
   cancelling_client.wire().write(cancel_line(0x41));
   closing_client.wire().close();
   resetting_client.wire().reset();
-  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 0; }));
 
   waiting_client.send_request(1, 0x44);
-  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 1; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 1; }));
 
   full_listener.accept_all();
   std::vector<EnginePeer> sides;
-  EXPECT_TRUE(comes_true([&] {
+  EXPECT_TRUE(wait_until([&] {
     if (EnginePeer side(full_listener, 1); side.is_open()) sides.push_back(std::move(side));
     for (EnginePeer& side : sides) {
       const auto request = side.next(1);
@@ -200,7 +200,7 @@
     client.send_request(id, 0x51U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
     EnginePeer* at = nullptr;
-    EXPECT_TRUE(comes_true([&] {
+    EXPECT_TRUE(wait_until([&] {
       if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) sides.push_back(std::move(side));
       for (EnginePeer& side : sides) {
         request = side.next(1);
@@ -213,7 +213,7 @@
     at->answer(0, request->id, "parts=8", page);
     for (int number = 1; number < 8; ++number)
       at->answer(9, request->id, "part_no=" + std::to_string(number), page);
-    EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 1; }));
+    EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 1; }));
   }
   client.wire().write(cancel_line(0x51));
   const auto cancel = held_engine.next();
@@ -235,7 +235,7 @@
     client.send_request(1, ++trace);
     EnginePeer engine;
     std::optional<engine_frames::Frame> request;
-    ASSERT_TRUE(comes_true([&] {
+    ASSERT_TRUE(wait_until([&] {
       if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) idle_engines_.push_back(std::move(side));
       for (EnginePeer& side : idle_engines_) {
         while (auto next = side.next(1))
@@ -257,7 +257,7 @@
       }
       return 0;
     });
-    EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+    EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
     EXPECT_EQ(server.counts().sessions, 0U);
     EXPECT_EQ(server.counts().attempts_out, 0U);
     idle_engines_.push_back(std::move(engine));
@@ -280,7 +280,7 @@
   silent_clients.reserve(client_count);
 
   for (int i = 0; i < client_count; ++i) silent_clients.emplace_back(server.port());
-  EXPECT_TRUE(comes_true([&] { return server.clients() >= 52; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() >= 52; }));
 
   std::ofstream(path) << config_text(discovery_listener_.port());
   server.reload();
@@ -288,7 +288,7 @@
   EXPECT_EQ(discovery_peer.requested_after, 1U);
 
   discovery_peer.send_event(2, {engine_record(9, engine_listeners_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return server.last_event() == 2; }));
+  EXPECT_TRUE(wait_until([&] { return server.last_event() == 2; }));
 
   RawClient regular_client(server.port());
   regular_client.send_request(1, 0xa1);
--- a/tests/platform/discovery_test.cpp
+++ b/tests/platform/discovery_test.cpp
@@ -37,7 +37,7 @@
 
   discovery_peer.send_event(2, {engine_record(2, engine_listeners_[1].port(), EngineState::draining)});
   discovery_peer.send_event(2, {engine_record(2, engine_listeners_[1].port())});  // a duplicate is ignored
-  EXPECT_TRUE(comes_true([&] { return server.last_event() == 2; }));
+  EXPECT_TRUE(wait_until([&] { return server.last_event() == 2; }));
 
   discovery_peer.send_event(4, {engine_record(1, engine_listeners_[0].port(), EngineState::removed)});
   EXPECT_TRUE(discovery_peer.wire.is_closed_by_peer());
@@ -56,7 +56,7 @@
   EXPECT_EQ(third_peer.requested_after, 2U);
 
   third_peer.wire.write(partial_event);
-  EXPECT_TRUE(comes_true([&] { return server.last_event() == 3; }));
+  EXPECT_TRUE(wait_until([&] { return server.last_event() == 3; }));
 
   // The drained engine gets no requests; the successive engines at the other address do.
   RawClient client(server.port());
@@ -72,7 +72,7 @@
   DiscoveryPeer old_peer(discovery_listener_);
 
   old_peer.send_event(2, {engine_record(9, engine_listeners_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return server.last_event() == 2; }));
+  EXPECT_TRUE(wait_until([&] { return server.last_event() == 2; }));
 
   RawClient client(server.port());
   client.send_request(1, 0x900);
@@ -117,7 +117,7 @@
   EXPECT_EQ(discovery_peer.requested_after, 1U);
 
   discovery_peer.send_event(2, {engine_record(9, engine_listeners_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return server.last_event() == 2; }));
+  EXPECT_TRUE(wait_until([&] { return server.last_event() == 2; }));
 
   ::unlink(path.c_str());
 }
@@ -132,7 +132,7 @@
   discovery_peer.send_event(++number, {engine_record(1, engine_listeners_[0].port(), EngineState::removed)});
   for (EngineId generation = 2; generation < 62; ++generation) {
     discovery_peer.send_event(++number, {engine_record(generation, engine_listeners_[0].port())});
-    ASSERT_TRUE(comes_true([&] { return server.last_event() == number; }));
+    ASSERT_TRUE(wait_until([&] { return server.last_event() == number; }));
     client.send_request(static_cast<int>(generation), 0x4000U + generation);
     EnginePeer engine(engine_listeners_[0]);  // not the connection of the previous engine
     const auto request = engine.next();
@@ -143,7 +143,7 @@
                               {engine_record(generation, engine_listeners_[0].port(), EngineState::removed)});
     ASSERT_TRUE(engine.wire().is_closed_by_peer()) << generation;
   }
-  EXPECT_TRUE(comes_true([&] { return server.engine_connections() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.engine_connections() == 0; }));
   EXPECT_EQ(server.engines(), 0U);
   EXPECT_EQ(server.counts().channels, 0U);
   EXPECT_EQ(server.counts().sessions, 0U);
@@ -161,13 +161,13 @@
     discovery_peer->send_event(2, {engine_record(3, engine_listeners_[0].port())});
     return 0;
   });
-  if (!comes_true([&] { return server.last_event() == 2 || !discovery_peer->wire.read(1); })) FAIL();
+  if (!wait_until([&] { return server.last_event() == 2 || !discovery_peer->wire.read(1); })) FAIL();
   if (server.last_event() == 2) return;
   DiscoveryPeer second_peer(discovery_listener_);
   EXPECT_EQ(second_peer.requested_after, 1U);
 
   second_peer.send_event(2, {engine_record(3, engine_listeners_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return server.last_event() == 2; }));
+  EXPECT_TRUE(wait_until([&] { return server.last_event() == 2; }));
 }
 
 }  // namespace
--- a/tests/platform/manager_process.hpp
+++ b/tests/platform/manager_process.hpp
@@ -67,7 +67,7 @@
         paddlestand::test::program_under_test(), "platform", "--trace", environment,
         boost::process::std_in<boost::process::null, boost::process::std_out> boost::process::null,
         boost::process::std_err > (folder_ / "log").string());
-    ready_ = comes_true([this] { return answers_ready(); });
+    ready_ = wait_until([this] { return answers_ready(); });
   }
   ~ManagerProcess() {
     std::error_code ignored;
--- a/tests/platform/peers.hpp
+++ b/tests/platform/peers.hpp
@@ -28,7 +28,7 @@
       auto frame = reader_.next();
       if (auto* one = std::get_if<engine_frames::Frame>(&frame)) return std::move(*one);
       if (std::holds_alternative<engine_frames::ProtocolViolation>(frame)) {
-        ADD_FAILURE() << "a manager's frame can't be read";
+        ADD_FAILURE() << "invalid frame from the manager";
         return std::nullopt;
       }
       const auto bytes = wire_.read(wait_ms);
@@ -37,7 +37,7 @@
     }
   }
   /// Returns the next command if it has already arrived; sets `ended` at the end of the connection.
-  std::optional<engine_frames::Frame> next_if_here(bool& ended) {
+  std::optional<engine_frames::Frame> next_if_received(bool& ended) {
     for (;;) {
       auto frame = reader_.next();
       if (auto* one = std::get_if<engine_frames::Frame>(&frame)) return std::move(*one);
@@ -55,25 +55,25 @@
   Wire& wire() { return wire_; }
   [[nodiscard]] bool has_input() const { return wire_.has_input(); }
 
-  std::set<std::uint64_t> ids;  ///< of the requests that arrived, if a test records them
+  std::set<std::uint64_t> request_ids;  ///< of the received requests, if a test records them
 
  private:
   Wire wire_;
   engine_frames::FrameReader reader_;
 };
 
-/// A client whose input is controlled by a test.
+/// A client whose input is controlled byte by byte by a test.
 class RawClient {
  public:
   explicit RawClient(std::uint16_t port) : wire_(Wire::connect(port)) {}
 
   static std::string request_line(int id, std::uint64_t trace, const std::string& method = "report",
-                                  const std::string& more = "", int client_timeout_ms_ = 7000) {
+                                  const std::string& more_params = "", int request_timeout_ms = 7000) {
     char hex[17];
     std::snprintf(hex, sizeof(hex), "%016llx", static_cast<unsigned long long>(trace));
     return R"({"jsonrpc":"2.0","id":)" + std::to_string(id) + R"(,"method":")" + method +
-           R"(","params":{"trace":")" + hex + R"(","patience":)" + std::to_string(client_timeout_ms_) +
-           R"(,"weight":20,"content":")" + base64("SELECT 1 FROM a_1.b") + "\"" + more + "}}\n";
+           R"(","params":{"trace":")" + hex + R"(","patience":)" + std::to_string(request_timeout_ms) +
+           R"(,"weight":20,"content":")" + base64("SELECT 1 FROM a_1.b") + "\"" + more_params + "}}\n";
   }
   void send_request(int id, std::uint64_t trace) const { EXPECT_TRUE(wire_.write(request_line(id, trace))); }
 
@@ -91,7 +91,7 @@
       bytes_ += *more;
     }
   }
-  /// The next answer as "served:<body>", "error:<code>", "done" or "nothing".
+  /// Waits for the next answer and returns it as "served:<body>", "error:<code>", "done" or "nothing".
   std::string outcome(int wait_ms = client_timeout_ms) {
     const auto value = next(wait_ms);
     if (!value.is_object()) return "nothing";
@@ -175,7 +175,7 @@
   return config;
 }
 
-/// A configuration file for a reload, with another command channel.
+/// The text of a configuration file for a reload, with another command channel.
 inline std::string config_text(std::uint16_t discovery_server) {
   return R"({"name":"n","listen":"127.0.0.1:1","seed":"1","channel":"127.0.0.1:)" +
          std::to_string(discovery_server) +
@@ -183,11 +183,11 @@
          R"("repeat":"pure"}],"permissions":{"multiplex":32,"conn_idle_ns":0,"dial_timeout_ns":0}}})";
 }
 
-/// A server on its own thread.
-class RunningServer : public Thread<PlatformServer> {
+/// A server on its own event loop and thread.
+class RunningServer : public EventLoopThread<PlatformServer> {
  public:
   explicit RunningServer(PlatformConfig config, std::string path = "")
-      : Thread([&](auto& io) {
+      : EventLoopThread([&](auto& io) {
           return std::make_unique<PlatformServer>(io, std::move(config), std::move(path), false);
         }) {}
   std::uint16_t port() {
@@ -245,7 +245,7 @@
   }
 };
 
-/// A server with some engines and a command channel.
+/// Fixture with listeners for engines and for the command channel of a server.
 class PlatformServerTest : public ::testing::Test {
  protected:
   explicit PlatformServerTest(std::size_t engines = 1) : engine_listeners_(engines) {}
@@ -264,12 +264,12 @@
 class TwoEngineTest : public PlatformServerTest {
  protected:
   TwoEngineTest() : PlatformServerTest(2) {}
-  /// The engine that the next query is sent to.
+  /// Accepts the next connection to either engine.
   EnginePeer accept_any_engine() {
     for (int i = 0; i < client_timeout_ms / 20; ++i) {
       for (const Listener& engine : engine_listeners_) {
-        EnginePeer side(engine, 10);
-        if (side.is_open()) return side;
+        EnginePeer peer(engine, 10);
+        if (peer.is_open()) return peer;
       }
     }
     return EnginePeer(engine_listeners_[0], 0);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -85,7 +85,7 @@
     second.answer(0, trace, "parts=1,work=9", "x\ty\tz\n");
     EXPECT_EQ(client.outcome(), "served:x\ty\tz\n") << id;
     second.wire().close();
-    EXPECT_TRUE(comes_true([&] { return server.engine_connections() == 0; }));
+    EXPECT_TRUE(wait_until([&] { return server.engine_connections() == 0; }));
   }
 }
 
@@ -304,7 +304,7 @@
     for (int number = 1; number < 8; ++number)
       engine.answer(9, command->id, "part_no=" + std::to_string(number), page);
   }
-  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
   EXPECT_EQ(server.counts().sessions, 0U);
 }
 
--- a/tests/program_under_test.hpp
+++ b/tests/program_under_test.hpp
@@ -1,4 +1,4 @@
-/// What tests of the program as a process of its own share.
+/// Helpers for tests that run the program in a separate process.
 #pragma once
 
 #include <boost/process.hpp>
@@ -8,14 +8,15 @@
 
 namespace paddlestand::test {
 
-/// The path of `paddlestand`: the build's own, or another one to be tested by the same cases.
+/// The path of the `paddlestand` program to test: PADDLESTAND_PROGRAM if it is set, otherwise the one of this
+/// build.
 inline std::string program_under_test() {
-  const char* other = std::getenv("PADDLESTAND_PROGRAM");
-  return other == nullptr ? PADDLESTAND_PROGRAM_PATH : other;
+  const char* override_path = std::getenv("PADDLESTAND_PROGRAM");
+  return override_path == nullptr ? PADDLESTAND_PROGRAM_PATH : override_path;
 }
 
-/// This process's environment, and rules of tests/faults/call_faults.cpp for a program's system calls; none
-/// where empty.
+/// This process's environment, extended by fault rules of tests/faults/call_faults.cpp for the system calls
+/// of a program. Empty rules change nothing.
 inline boost::process::environment environment_with(const std::string& call_faults) {
   boost::process::environment environment = boost::this_process::environment();
   if (call_faults.empty()) return environment;
@@ -25,7 +26,7 @@
   return environment;
 }
 
-/// Whether a process is stopped, by a signal of its own or of others.
+/// Whether a process is stopped, by a signal from itself or from another process.
 inline bool is_stopped(int process_id) {
   std::ifstream status("/proc/" + std::to_string(process_id) + "/stat");
   std::string field;
--- a/tests/service/engine_list_test.cpp
+++ b/tests/service/engine_list_test.cpp
@@ -44,7 +44,7 @@
     EXPECT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='b'*/"), "TDCZ");
     return engine_of("b") == "second";
   };
-  EXPECT_TRUE(comes_true(is_sent_to_second));
+  EXPECT_TRUE(wait_until(is_sent_to_second));
 }
 
 // Guards against queries that go on to the earlier address of an engine, on a channel that was idle.
@@ -73,7 +73,7 @@
     std::string list;
     for (int i = 0; i < engines_in_a_list; ++i) list += engine_element(next_id++, unused_port, "ready");
     folder_.replace_engine_list(list + "</engines>");
-    ASSERT_TRUE(comes_true([&] { return manager.knows_engine(static_cast<EngineId>(next_id - 1)); })) << roll;
+    ASSERT_TRUE(wait_until([&] { return manager.knows_engine(static_cast<EngineId>(next_id - 1)); })) << roll;
   }
 
   EXPECT_EQ(manager.known_engines(), static_cast<std::size_t>(engines_in_a_list));
--- a/tests/service/hard_cases_test.cpp
+++ b/tests/service/hard_cases_test.cpp
@@ -46,7 +46,7 @@
   RawClient client(port);
 
   client.send_query("select 1 /*sim_work_ms='60000',sim_id='c1'*/");
-  ASSERT_TRUE(comes_true([&] { return manager.counts().attempts_out == 1; }));
+  ASSERT_TRUE(wait_until([&] { return manager.counts().attempts_out == 1; }));
 
   std::string wrong_key = client.cancel_key();
   wrong_key.back() = static_cast<char>(wrong_key.back() ^ 1);
@@ -65,7 +65,7 @@
   RunningManager without_engines(manager_settings({}));
   RawClient queued(without_engines.port());
   queued.send_query("select 1 /*cost_ms='10'*/");
-  ASSERT_TRUE(comes_true([&] { return without_engines.counts().queries_open == 1; }));
+  ASSERT_TRUE(wait_until([&] { return without_engines.counts().queries_open == 1; }));
   send_cancel(without_engines.port(), queued.cancel_key());
   EXPECT_EQ(queued.read_answer(), "EZ");
   EXPECT_EQ(queued.error_code(), "57014");
@@ -81,12 +81,12 @@
   {
     RawClient client(manager.port());
     client.send_query("select 1 /*class='settle',sim_work_ms='60000',sim_id='gone'*/");
-    ASSERT_TRUE(comes_true([&] { return manager.counts().attempts_out == 1; }));
-    ASSERT_TRUE(comes_true([&] { return count_events(events_of(log, "gone"), "started") == 1; }));
+    ASSERT_TRUE(wait_until([&] { return manager.counts().attempts_out == 1; }));
+    ASSERT_TRUE(wait_until([&] { return count_events(events_of(log, "gone"), "started") == 1; }));
   }
 
   EXPECT_TRUE(manager.becomes_idle());
-  EXPECT_TRUE(comes_true([&] { return count_events(events_of(log, "gone"), "cancelled") == 1; }));
+  EXPECT_TRUE(wait_until([&] { return count_events(events_of(log, "gone"), "cancelled") == 1; }));
   EXPECT_EQ(count_events(events_of(log, "gone"), "received"), 1U);
   unlink(log.c_str());
 }
@@ -164,7 +164,7 @@
 
   stalled.send_query("select 1 /*deadline_ms='60000',sim_rows='60000',sim_row_bytes='1000'*/");
   // It settles between half a window and a window and one read: bytes that the kernel accepts late lower it.
-  ASSERT_TRUE(comes_true([&] { return manager.counts().bytes_buffered > 128 * 1024; }));
+  ASSERT_TRUE(wait_until([&] { return manager.counts().bytes_buffered > 128 * 1024; }));
 
   for (int i = 0; i < 20; ++i) {
     ASSERT_EQ(other.execute("select 1"), "TDCZ");
@@ -190,7 +190,7 @@
                   "select 1 /*deadline_ms='60000',sim_work_ms='0.01',sim_rows='50',sim_row_bytes='1000'*/");
   }
   stalled.send(pipelined);
-  ASSERT_TRUE(comes_true([&] { return manager.counts().bytes_buffered > std::size_t{200} * 1024; }));
+  ASSERT_TRUE(wait_until([&] { return manager.counts().bytes_buffered > std::size_t{200} * 1024; }));
 
   for (int i = 0; i < 200; ++i) {
     ASSERT_EQ(other.execute("select 1"), "TDCZ");
@@ -299,7 +299,7 @@
   RawClient idle(manager.port()), busy(manager.port());
 
   busy.send_query("select 1 /*sim_work_ms='300'*/");
-  ASSERT_TRUE(comes_true([&] { return manager.counts().attempts_out == 1; }));
+  ASSERT_TRUE(wait_until([&] { return manager.counts().attempts_out == 1; }));
 
   manager.begin_shutdown();
 
@@ -335,7 +335,7 @@
   folder.replace_engine_list(engine_element(1, first->port(), "draining") +
                              engine_element(2, second->port(), "ready") + "</engines>");
   // The draining engine's idle channels are closed.
-  ASSERT_TRUE(comes_true([&] { return manager.counts().channels_idle == 0; }));
+  ASSERT_TRUE(wait_until([&] { return manager.counts().channels_idle == 0; }));
 
   for (int i = 0; i < 5; ++i) ASSERT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='d'*/"), "TDCZ");
   const auto events = events_of(engine_settings.truth_log, "d");
@@ -381,7 +381,7 @@
 
   ASSERT_TRUE(manager.becomes_idle());
   // Both ends of the engine's channels, eight at most, are in this process; leaks would add up to more.
-  EXPECT_TRUE(comes_true([&] { return open_descriptors() <= before + 20; }))
+  EXPECT_TRUE(wait_until([&] { return open_descriptors() <= before + 20; }))
       << open_descriptors() << " " << before;
   EXPECT_LT(manager.counts().timers, 1000U);
 }
--- a/tests/service/serve_process.hpp
+++ b/tests/service/serve_process.hpp
@@ -29,7 +29,7 @@
         "--port-file", port_file(), environment,
         boost::process::std_in<boost::process::null, boost::process::std_out> boost::process::null,
         boost::process::std_err > (folder_ / "log").string());
-    paddlestand::test::comes_true([this] { return read_port(); });
+    paddlestand::test::wait_until([this] { return read_port(); });
   }
   ~ServeProcess() {
     std::error_code ignored;
--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -28,10 +28,10 @@
 using namespace paddlestand::test;
 
 /// A test engine, to be commanded into its faults.
-class Engine : public Thread<test_engine::Server> {
+class Engine : public EventLoopThread<test_engine::Server> {
  public:
   explicit Engine(test_engine::TestEngineSettings settings = {})
-      : Thread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
+      : EventLoopThread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
   std::string command(const std::string& line) {
     return run([&](test_engine::Server& server) { return server.command(line); });
   }
@@ -68,11 +68,11 @@
 
 /// A manager with these settings. `path`: where they would stand, for the files that they name and for
 /// reloads.
-class RunningManager : public Thread<PostgresServer> {
+class RunningManager : public EventLoopThread<PostgresServer> {
  public:
   explicit RunningManager(const std::string& settings, pg::Users users = trusted_users(),
                           const std::string& path = "test")
-      : Thread([&](auto& io) {
+      : EventLoopThread([&](auto& io) {
           auto read = config::parse_manager_config(settings, path);
           if (const auto* fault = std::get_if<config::Fault>(&read)) throw std::runtime_error(fault->text());
           return std::make_unique<PostgresServer>(io, std::get<config::ManagerConfig>(std::move(read)), path,
@@ -104,7 +104,7 @@
   }
   /// Whether no query, attempt or buffered byte is left, now or in a while.
   bool becomes_idle() {
-    return comes_true([&] {
+    return wait_until([&] {
       const core::Counts now = counts();
       return now.queries_open == 0 && now.attempts_out == 0 && now.bytes_buffered == 0;
     });
--- a/tests/service/stopped_service_test.cpp
+++ b/tests/service/stopped_service_test.cpp
@@ -24,7 +24,7 @@
   bool close_during_stop(const std::string& id) {
     RawClient client(service_.port());
     client.send_query("select 1 /*class='settle',sim_work_ms='20',sim_id='" + id + "'*/");
-    const bool was_stopped = comes_true([&] { return service_.is_stopped() || has_begun(id); });
+    const bool was_stopped = wait_until([&] { return service_.is_stopped() || has_begun(id); });
     if (!was_stopped || !service_.is_stopped()) return false;
     std::this_thread::sleep_for(20ms);  // what was sent before the stop
     const bool has_begun_before = has_begun(id);
