--- a/tests/incidents/drain_during_stop_test.cpp
+++ b/tests/incidents/drain_during_stop_test.cpp
@@ -1,6 +1,6 @@
-/// Incident: an engine begins to drain while the manager's process is stopped
-/// (docs/incidents/038-stopped-before-a-send.md). The stop outlasts the drain grace: once the manager runs
-/// again it may send the engine nothing.
+/// Guards against requests to a draining engine after the drain grace. An engine begins to drain while the
+/// manager's process is stopped, and the stop lasts longer than the drain grace: after the manager is
+/// resumed, it must not send requests to this engine (docs/incidents/038-stopped-before-a-send.md).
 #include <thread>
 
 #include "incident_test.hpp"
@@ -12,21 +12,21 @@
 
 constexpr EngineId draining_engine = 1;
 constexpr std::uint64_t first_trace = 0x7900000000000000;
-constexpr int requests = 16;  // some of them for each engine
-constexpr std::uint64_t first_event = 2;  // the configuration holds the one before
+constexpr int requests = 16;  // enough that each engine receives some of them
+constexpr std::uint64_t first_event = 2;  // event 1 is part of the configuration
 constexpr auto stop_time = 500ms;  // the drain grace is 250 ms
-constexpr auto longest_wait =
-    30s;  // for a stop: it is drawn for each request, from some time after the start on
+// From 1.5 s after the start on, call_faults decides at random before each sent request whether to stop.
+constexpr auto max_wait_for_stop = 30s;
 
-class TwoEnginesOfWhichOneDrains : public IncidentTest {
+class DrainDuringStop : public IncidentTest {
  protected:
-  explicit TwoEnginesOfWhichOneDrains(const std::string& call_faults = "")
+  explicit DrainDuringStop(const std::string& call_faults = "")
       : IncidentTest(2, {.call_faults = call_faults}) {}
 
   void SetUp() override {
     IncidentTest::SetUp();
     discovery_peer_ = std::make_unique<DiscoveryPeer>(discovery_server());
-    send_requests();  // from here on a connection for each of them is open
+    send_requests();  // opens a connection for each of them
     expect_all_served(serve_request);
   }
 
@@ -36,7 +36,7 @@
     ASSERT_TRUE(client().wire().write(lines));
     open_requests_ = requests;
   }
-  void expect_all_served(const OnFrame& on_frame) {
+  void expect_all_served(const FrameHandler& on_frame) {
     for (; open_requests_ > 0; --open_requests_)
       EXPECT_EQ(outcome_while(client(), on_frame), "served:a\tb\tc\n");
   }
@@ -44,18 +44,19 @@
     discovery_peer_->send_event(first_event,
                                 {engine_record(draining_engine, engine(0).port(), EngineState::draining)});
   }
-  /// Serves every request, none of which the draining engine may get.
-  OnFrame expect_none_at_draining_engine() {
+  /// Serves every request and reports an error if the draining engine receives one.
+  FrameHandler expect_none_at_draining_engine() {
     return [this](CountingEngine& engine, Connection& connection, const engine_frames::Frame& frame) {
-      if (is(frame, engine_frames::Command::request)) {
-        EXPECT_NE(&engine, &this->engine(0)) << "sent to the engine that drains\n" << manager().log();
+      if (is_command(frame, engine_frames::Command::request)) {
+        EXPECT_NE(&engine, &this->engine(0)) << "sent to the draining engine\n" << manager().log();
       }
       serve_request(engine, connection, frame);
     };
   }
-  /// Sends requests, again once all are served, until the manager is stopped with some of them open.
+  /// Sends batches of requests until the manager is stopped while requests are open. Returns false after
+  /// max_wait_for_stop.
   bool send_until_stopped() {
-    const auto end = Clock::now() + longest_wait;
+    const auto end = Clock::now() + max_wait_for_stop;
     while (Clock::now() < end) {
       send_requests();
       for (int answered = 0; answered < requests;) {
@@ -83,8 +84,9 @@
   int open_requests_ = 0;
 };
 
-// Guards against acting on requests before the list of engines, where the requests arrived first.
-TEST_F(TwoEnginesOfWhichOneDrains, GetNoRequestThatArrivedDuringTheSameStop) {
+// Requests and then the drain event arrive during the stop: the event must be applied before the requests are
+// sent.
+TEST_F(DrainDuringStop, RequestsReceivedInTheSameStopAreNotSentToTheDrainingEngine) {
   manager().stop();
   send_requests();
   std::this_thread::sleep_for(1ms);
@@ -94,15 +96,16 @@
   expect_all_served(expect_none_at_draining_engine());
 }
 
-class StoppedBeforeARequestToOneThatDrains : public TwoEnginesOfWhichOneDrains {
+class DrainDuringStopBeforeSend : public DrainDuringStop {
  protected:
-  StoppedBeforeARequestToOneThatDrains() : TwoEnginesOfWhichOneDrains("send_request stop:500 0.3 1.5 1e9") {}
+  DrainDuringStopBeforeSend() : DrainDuringStop("send_request stop:500 0.3 1.5 1e9") {}
 };
 
-// Guards against sending to the engine that was chosen before the stop.
-TEST_F(StoppedBeforeARequestToOneThatDrains, GetsNoRequest) {
+// The engine of an attempt was chosen before the stop and drains during it: the attempt must not be sent to
+// it.
+TEST_F(DrainDuringStopBeforeSend, NoRequestIsSentToTheDrainingEngine) {
   ASSERT_TRUE(send_until_stopped());
-  serve_for(20ms);  // what was sent before the stop
+  serve_for(20ms);  // serves the requests sent before the stop
   drain();
   expect_all_served(expect_none_at_draining_engine());
 }
--- a/tests/incidents/earlier_ends_test.cpp
+++ b/tests/incidents/earlier_ends_test.cpp
@@ -1,6 +1,6 @@
-/// Defects of the class of incident 32, found in a sweep after it: something that has ended is confused with
-/// its successor of the same name. The order of events is given at each test; each failed on the program
-/// before the sweep.
+/// Regression tests for defects like incident 32: an attempt, engine process or connection that has ended is
+/// confused with its successor of the same id or address. Each test states the order of events; each of them
+/// failed on the version before the fixes.
 #include "incident_test.hpp"
 
 namespace paddlestand::platform::test {
@@ -10,13 +10,13 @@
 using engine_frames::Reply;
 
 constexpr std::uint64_t request_trace = 0x7700000000000002;
-constexpr int tiny_buffer = 2048;  // bytes
+constexpr int small_receive_buffer = 2048;  // bytes
 
-// ---- A cancel that is not transmitted ----
+// ---- A cancel that stays in the send buffer ----
 
-class EngineThatDoesNotRead : public IncidentTest {
+class NonReadingEngine : public IncidentTest {
  protected:
-  EngineThatDoesNotRead() : IncidentTest(2, {.receive_buffer = tiny_buffer}) {}
+  NonReadingEngine() : IncidentTest(2, {.receive_buffer = small_receive_buffer}) {}
 
   static std::string large_request(int number) {
     const std::string statement = "SELECT '" + std::string(60'000, 'x') + "' FROM a_1.b";
@@ -26,11 +26,11 @@
   }
 };
 
-// The first engine does not read: its connection's buffers are full of a request. The manager cancels
-// the attempt and sends the next one to the other engine. The cancel waits behind the request, and so would
-// an orderly close: once the engine reads again it has the complete request, which runs beside the second
-// attempt.
-TEST_F(EngineThatDoesNotRead, HasNoAttemptOnceTheNextOneBegins) {
+// The first engine does not read, so a large request fills the buffers of its connection. The manager cancels
+// the attempt and sends the next one to the other engine. The cancel, like a graceful close, would be queued
+// behind the request: once the engine reads again, it would receive the complete request and run it
+// concurrently with the second attempt. The manager must reset the connection instead.
+TEST_F(NonReadingEngine, NeverReceivesACancelledRequestCompletely) {
   ASSERT_TRUE(client().wire().write(large_request(next_number())));
   ASSERT_TRUE(wait_until([&] { return engine(0).has_input() || engine(1).has_input(); }));
 
@@ -44,14 +44,14 @@
     return second != nullptr;
   })) << manager().log();
 
-  // The engine reads again, all that there is.
+  // The engine reads all remaining input.
   constexpr int reads = 100;
   for (int i = 0; i < reads; ++i) {
     non_reading_engine.poll([](Connection&, const auto&) {});
     std::this_thread::sleep_for(2ms);
   }
   EXPECT_EQ(non_reading_engine.attempts_started(request_trace), 0U)
-      << "it received a complete request that was cancelled";
+      << "the engine received the complete cancelled request";
 
   other.serve(*second, request_trace);
   EXPECT_EQ(client().outcome(), "served:a\tb\tc\n");
@@ -64,11 +64,11 @@
   OneEngine() : IncidentTest(1) {}
 };
 
-// Two endpoint events arrive at once: the engine is removed, and it is ready, with a new process under its id
-// and at its address. Connections to the earlier process are still open, and idle: the next request is sent
-// on a new one, to the new process.
+// Two discovery events arrive together: the engine is removed, and a new process is ready under the same id
+// and address. Idle connections to the earlier process are still open. The next request must be sent to the
+// new process, on a new connection.
 TEST_F(OneEngine, ARestartedEngineIsReachedOnNewConnections) {
-  const std::uint64_t earlier = engine().last_connection();
+  const std::uint64_t last_old_connection = engine().last_connection();
   const DiscoveryPeer discovery_peer(discovery_server());
   auto removed = engine_record(1, engine().port(), EngineState::removed);
   auto ready = engine_record(1, engine().port());
@@ -80,21 +80,22 @@
   ASSERT_TRUE(wait_until([&] { return manager().log().find(ready_is_logged) != std::string::npos; }));
 
   client().send_request(next_number(), request_trace);
-  std::uint64_t on_connection = 0;
+  std::uint64_t request_connection = 0;
   const std::string outcome = outcome_while(client(), [&](auto& engine, auto& connection, const auto& frame) {
-    if (frame.id == request_trace && is(frame, Command::request)) on_connection = connection.number;
+    if (frame.id == request_trace && is_command(frame, Command::request))
+      request_connection = connection.number;
     serve_request(engine, connection, frame);
   });
   EXPECT_EQ(outcome, "served:a\tb\tc\n");
-  EXPECT_GT(on_connection, earlier);
+  EXPECT_GT(request_connection, last_old_connection);
 }
 
-// ---- A request that a client repeats ----
+// ---- A request repeated on a new connection ----
 
-// A client's connection ends while its request is open; it repeats the request, under the same id, on a new
-// connection. The manager reads the new request before the end of the old connection. The earlier attempt is
-// cancelled, the new request is sent on another connection and is served. Before the fix it was answered as
-// invalid.
+// A client's connection ends while its request is open, and the client repeats the request under the same id
+// on a new connection. The manager reads the new request before the close of the old connection. It must
+// cancel the earlier attempt, send the new request on another connection and serve it. Before the fix it
+// answered the new request as invalid.
 TEST_F(OneEngine, ServesARepeatedRequestBeforeTheCloseOfItsOldConnectionIsRead) {
   auto old_client = std::make_unique<RawClient>(manager().port());
   old_client->send_request(1, request_trace);
@@ -113,7 +114,7 @@
   EXPECT_EQ(engine().reused_ids(), 0U);
 }
 
-// An id is reused by a later request while a duplicate of the earlier answer is in transit.
+// A later request has the same id as an answered one, and a duplicate of the earlier answer arrives.
 TEST_F(OneEngine, ADuplicateAnswerIsNotCreditedToALaterRequestWithTheSameId) {
   client().send_request(next_number(), request_trace);
   Connection* first = nullptr;
@@ -127,52 +128,54 @@
   RawClient other(manager().port());
   other.send_request(1, request_trace);
   const std::string outcome = outcome_while(other, [&](auto& engine, auto& connection, const auto& frame) {
-    if (frame.id != request_trace || !is(frame, Command::request)) return;
+    if (frame.id != request_trace || !is_command(frame, Command::request)) return;
     first->peer.answer(static_cast<std::uint8_t>(Reply::ok), request_trace, "parts=1,work=5",
                        "of\tthe\tfirst\n");
-    after(50ms, engine, connection, [](auto& engine, auto& same_connection) {
+    run_after(50ms, engine, connection, [](auto& engine, auto& same_connection) {
       engine.serve(same_connection, request_trace, "of\tthe\tsecond\n");
     });
   });
   EXPECT_EQ(outcome, "served:of\tthe\tsecond\n");
 }
 
-// ---- Commands after the end of their attempt ----
+// ---- Commands for an attempt that has ended ----
 
-// The engine answers the first attempt with an error. Nothing more is sent about an attempt that has ended on
+// The engine answers the first attempt with an error. After that the manager must send no command for it on
 // its connection: no request for further pages, no cancel, no change of priority.
-TEST_F(OneEngine, NoCommandIsSentAboutAnEndedAttempt) {
+TEST_F(OneEngine, NoCommandIsSentForAnEndedAttempt) {
   client().send_request(next_number(), request_trace);
   bool has_ended = false;
-  std::uint64_t ended_on = 0;
+  std::uint64_t ended_connection = 0;
   std::size_t commands_after_end = 0;
   const std::string outcome = outcome_while(client(), [&](auto& engine, auto& connection, const auto& frame) {
     if (frame.id != request_trace) return;
-    if (has_ended && connection.number == ended_on) ++commands_after_end;
-    const bool is_request = is(frame, Command::request);
+    if (has_ended && connection.number == ended_connection) ++commands_after_end;
+    const bool is_request = is_command(frame, Command::request);
     if (is_request && engine.attempts_started(request_trace) == 1) {
       engine.answer(connection, Reply::error, request_trace);
       has_ended = true;
-      ended_on = connection.number;
+      ended_connection = connection.number;
     } else if (is_request) {
-      after(100ms, engine, connection,
-            [](auto& engine, auto& same_connection) { engine.serve(same_connection, request_trace); });
+      run_after(100ms, engine, connection,
+                [](auto& engine, auto& same_connection) { engine.serve(same_connection, request_trace); });
     }
   });
   EXPECT_EQ(outcome, "served:a\tb\tc\n");
   EXPECT_EQ(commands_after_end, 0U);
 }
 
-// ---- Connections that are shared because there are few descriptors ----
+// ---- Connections shared because of a low descriptor limit ----
 
-class FewDescriptors : public IncidentTest {
+class LowDescriptorLimit : public IncidentTest {
  protected:
-  FewDescriptors() : IncidentTest(1, {.max_descriptors = 12}) {}  // three connections to the engine
+  /// Allows three connections to the engine.
+  LowDescriptorLimit() : IncidentTest(1, {.max_descriptors = 12}) {}
 };
 
-// The engine answers each request's first attempt with `over`, twice, while others run on its connection.
-// Each request has one active attempt at a time, and its answer is that of the second one.
-TEST_F(FewDescriptors, DuplicatesOnSharedConnectionsEndNoOtherAttempt) {
+// The engine answers the first attempt of each request twice with `over`, while other requests run on the
+// same connection. Each request must have one active attempt at a time and get the answer of its second
+// attempt.
+TEST_F(LowDescriptorLimit, DuplicateAnswersOnSharedConnectionsEndNoOtherAttempt) {
   constexpr int requests = 6;
   const int first_number = next_number();
 
@@ -181,14 +184,14 @@
   for (int answers = 0; answers < requests; ++answers) {
     const std::string outcome =
         outcome_while(client(), [&](auto& engine, auto& connection, const auto& frame) {
-          if (!is(frame, Command::request)) return;
+          if (!is_command(frame, Command::request)) return;
           const std::uint64_t id = frame.id;
           if (engine.attempts_started(id) > 1) {
-            after(100ms, engine, connection,
-                  [id](auto& engine, auto& same_connection) { engine.serve(same_connection, id); });
+            run_after(100ms, engine, connection,
+                      [id](auto& engine, auto& same_connection) { engine.serve(same_connection, id); });
             return;
           }
-          after(20ms, engine, connection, [id](auto& engine, auto& same_connection) {
+          run_after(20ms, engine, connection, [id](auto& engine, auto& same_connection) {
             engine.answer(same_connection, Reply::expired, id);
             same_connection.peer.answer(static_cast<std::uint8_t>(Reply::expired), id);
           });
--- a/tests/incidents/incident_test.hpp
+++ b/tests/incidents/incident_test.hpp
@@ -1,5 +1,5 @@
-/// What the incident tests share: a manager as a process of its own, engines that the test drives, and
-/// clients. Single-threaded: the engines are served while the test waits for a client's answer.
+/// Fixture of the incident tests: a manager in a separate process, engines that the test controls, and
+/// clients. Single-threaded: the engines are polled while the test waits for a client's answer.
 #pragma once
 
 #include <chrono>
@@ -10,18 +10,19 @@
 
 namespace paddlestand::platform::test {
 
-/// Starts a manager before engines with a good record, and a client. Further clients are the test's own.
+/// Starts a manager with engines that have a history of successful answers, and one client. A test may create
+/// more clients.
 class IncidentTest : public ::testing::Test {
  protected:
   using Connection = CountingEngine::Connection;
   using Clock = std::chrono::steady_clock;
-  using OnFrame = std::function<void(CountingEngine&, Connection&, const engine_frames::Frame&)>;
+  using FrameHandler = std::function<void(CountingEngine&, Connection&, const engine_frames::Frame&)>;
   using Step = std::function<void(CountingEngine&, Connection&)>;
 
-  /// Under which the manager runs.
+  /// The conditions under which the manager runs.
   struct Conditions {
-    int receive_buffer = 0;  // bytes, of the engines' connections; zero: the system's choice
-    std::uint32_t max_descriptors = 256;  // that the manager may use
+    int receive_buffer = 0;  // bytes, for each connection of the engines; zero for the system default
+    std::uint32_t max_descriptors = 256;  // limit of the manager
     std::string call_faults{};  // rules of tests/faults/call_faults.cpp for the manager's system calls
   };
 
@@ -33,18 +34,18 @@
   void SetUp() override {
     const std::uint16_t port = free_port();
     std::vector<std::uint16_t> ports;
-    for (const CountingEngine& one : engines_) ports.push_back(one.port());
+    for (const CountingEngine& current : engines_) ports.push_back(current.port());
     started_ = Clock::now();
     manager_ = std::make_unique<ManagerProcess>(
         process_config(ports, port, discovery_listener_.port(), conditions_.max_descriptors), port,
         conditions_.call_faults);
     ASSERT_TRUE(manager_->ready());
     client_ = std::make_unique<RawClient>(port);
-    establish_good_record();
+    establish_success_history();
   }
 
-  /// Lets the engines serve some requests: without a good record one error alone would eject the only engine.
-  void establish_good_record() {
+  /// Serves some requests. Without a history of successes a single error would eject the only engine.
+  void establish_success_history() {
     constexpr int requests = 20;
     for (int i = 0; i < requests; ++i) {
       const int number = next_number();
@@ -55,11 +56,12 @@
   /// Serves requests and ignores every other frame.
   static void serve_request(CountingEngine& engine, Connection& connection,
                             const engine_frames::Frame& frame) {
-    if (is(frame, engine_frames::Command::request)) engine.serve(connection, frame.id);
+    if (is_command(frame, engine_frames::Command::request)) engine.serve(connection, frame.id);
   }
 
-  /// Serves the engines until the client has an answer, which is returned as by RawClient::outcome().
-  std::string outcome_while(RawClient& client, const OnFrame& on_frame) {
+  /// Polls the engines until the client receives an answer, and returns it in the form of
+  /// RawClient::outcome().
+  std::string outcome_while(RawClient& client, const FrameHandler& on_frame) {
     std::string outcome = "nothing";
     const auto has_answer = [&] {
       outcome = client.outcome(1);
@@ -68,19 +70,20 @@
     run_until(has_answer, on_frame);
     return outcome;
   }
-  /// Serves the engines until `done`. False: it was not, within the clients' timeout.
-  bool run_until(const std::function<bool()>& done, const OnFrame& on_frame) {
+  /// Polls the engines until `done` returns true. Returns false after client_timeout_ms.
+  bool run_until(const std::function<bool()>& done, const FrameHandler& on_frame) {
     const auto end = Clock::now() + std::chrono::milliseconds(client_timeout_ms);
     while (!done()) {
       if (Clock::now() > end) return false;
-      for (CountingEngine& one : engines_)
-        one.poll([&](Connection& connection, const auto& frame) { on_frame(one, connection, frame); });
+      for (CountingEngine& current : engines_)
+        current.poll(
+            [&](Connection& connection, const auto& frame) { on_frame(current, connection, frame); });
       run_due_steps();
     }
     return true;
   }
-  /// Runs a step after a delay, on the same connection, if it is still open then.
-  void after(Duration delay, CountingEngine& engine, const Connection& connection, Step step) {
+  /// Runs a step on the given connection after a delay, if the connection is still open.
+  void run_after(Duration delay, CountingEngine& engine, const Connection& connection, Step step) {
     due_steps_.emplace(Clock::now() + std::chrono::duration_cast<Clock::duration>(delay),
                        [&engine, number = connection.number, step = std::move(step)] {
                          if (Connection* same_connection = engine.find(number))
@@ -89,18 +92,18 @@
   }
 
   CountingEngine& engine(std::size_t i = 0) { return engines_[i]; }
-  /// The largest number of attempts of one request that were active at once at one engine.
+  /// The maximum number of attempts of one request that were active at the same time on one engine.
   [[nodiscard]] std::size_t max_concurrent_attempts() const {
-    std::size_t most = 0;
-    for (const CountingEngine& one : engines_) most = std::max(most, one.max_concurrent_attempts());
-    return most;
+    std::size_t max = 0;
+    for (const CountingEngine& current : engines_) max = std::max(max, current.max_concurrent_attempts());
+    return max;
   }
   ManagerProcess& manager() { return *manager_; }
   RawClient& client() { return *client_; }
   Listener& discovery_server() { return discovery_listener_; }
-  /// For the next request of client().
+  /// Returns the JSON-RPC id for the next request of client().
   int next_number() { return ++last_number_; }
-  /// Sleeps until some time after the moment just before the manager was started.
+  /// Sleeps until the given time since the start of the manager.
   void sleep_until(Duration since_start) const {
     std::this_thread::sleep_until(started_ + std::chrono::duration_cast<Clock::duration>(since_start));
   }
--- a/tests/incidents/interrupted_close_test.cpp
+++ b/tests/incidents/interrupted_close_test.cpp
@@ -1,6 +1,7 @@
-/// Incident: the manager's process is stopped between its last look for input on an idle connection and the
-/// call that ends the connection (docs/incidents/038-stopped-before-a-close.md). call_faults stops it exactly
-/// there.
+/// Guards against losing a request on an idle connection during graceful shutdown: the manager's process is
+/// stopped between its last check for input on the connection and the shutdown() call, and the request
+/// arrives during the stop (docs/incidents/038-stopped-before-a-close.md). call_faults stops the process just
+/// before the call.
 #include <deque>
 
 #include "incident_test.hpp"
@@ -12,16 +13,16 @@
 
 constexpr std::uint64_t first_trace = 0x7a00000000000000;
 
-class StoppedBeforeAShutdown : public IncidentTest {
+class StoppedBeforeShutdownCall : public IncidentTest {
  protected:
-  StoppedBeforeAShutdown() : IncidentTest(1, {.call_faults = "shutdown stop:250 0.3"}) {}
+  StoppedBeforeShutdownCall() : IncidentTest(1, {.call_faults = "shutdown stop:250 0.3"}) {}
 
-  /// A client whose connection is idle until the manager is stopped.
+  /// A client that sends no further request until the manager is stopped.
   struct IdleClient {
     explicit IdleClient(std::uint16_t port) : connection(port) {}
     RawClient connection;
     bool has_request = false;
-    bool has_ended = false;  // its connection, before it sent the request
+    bool has_ended = false;  // the connection ended before the client sent the request
   };
 
   void open_idle_clients() {
@@ -33,7 +34,7 @@
     }
   }
 
-  /// Requests of the clients whose connections have not ended; returns how many there are.
+  /// Sends a request on each connection that has not ended; returns the number of requests sent.
   int send_on_open_connections() {
     int sent = 0;
     for (IdleClient& client : clients_) {
@@ -58,8 +59,8 @@
   std::uint64_t last_trace_ = first_trace;
 };
 
-// Guards against a connection that ends over a request which arrived during the stop.
-TEST_F(StoppedBeforeAShutdown, AnswersWhatArrivedDuringTheStop) {
+// A connection must not be ended while a request that arrived during the stop is unread.
+TEST_F(StoppedBeforeShutdownCall, RequestsReceivedDuringTheStopAreAnswered) {
   open_idle_clients();
   manager().terminate();
   ASSERT_TRUE(run_until([&] { return manager().is_stopped(); }, serve_request));
--- a/tests/incidents/stall_test.cpp
+++ b/tests/incidents/stall_test.cpp
@@ -1,20 +1,14 @@
-/// Incident: the manager's process is stopped for a moment, and engines are granted too much time.
+/// Guards against granting an engine more time than the client of its request has left, after the manager's
+/// process was stopped for a short time.
 ///
-/// What was seen: an engine was granted 172 ms more than the client of its request still had, 22 ms beyond
-/// the tolerance, in one of fifty fault runs in which managers were stopped for a moment and accept failed.
-///
-/// The order of events:
-///   1. the manager is stopped; a client connects and sends its request;
-///   2. the manager is resumed, 173 ms later, and accept fails;
-///   3. accept succeeds, 75 ms later: the connection is accepted, the request is read and forwarded.
-///
-/// The cause: how long a connection may have waited in the accept queue was counted from the first failed
-/// accept, as if that call had been made in time. The same for reads that fail. The event loop's lag at the
-/// first failure is part of the wait.
-///
-/// The evidence: of 248 ms between the request and its arrival at the engine the manager counted 75, the time
-/// since it resumed by its log; the request was the first on its connection; runs without failing accepts
-/// stay within the tolerance after stalls of the same length.
+/// In one of 50 fault runs with short stops and failing accept calls, an engine was granted 172 ms more than
+/// the client's remaining time, 22 ms beyond the tolerance. A client connected and sent its request while the
+/// manager was stopped; it was the first request on its connection. The manager was resumed 173 ms later,
+/// accept failed, and succeeded after another 75 ms. Of the 248 ms between the request and its arrival at the
+/// engine the manager counted only 75 ms, the time since it was resumed: it computed the time in the accept
+/// queue from the first failed accept, as if that call had been made in time. Failed reads had the same
+/// defect. The event loop's lag at the first failure must be part of the wait. Runs without failing accept
+/// calls stayed within the tolerance after stalls of the same length.
 #include "incident_test.hpp"
 
 namespace paddlestand::platform::test {
@@ -22,8 +16,8 @@
 
 constexpr std::uint64_t request_trace = 0x7700000000000003;
 constexpr int requested_client_timeout_ms = 3000;
-constexpr int slack_ms = 150;  // that an engine may be granted beyond its client's time
-// Since the manager's start. Its calls fail from 1 s to 1.45 s.
+constexpr int slack_ms = 150;  // that an engine may be granted beyond the client's remaining time
+// Times since the start of the manager. System calls with a fault rule fail from 1 s to 1.45 s.
 constexpr auto stop_at = 950ms;
 constexpr auto resume_at = 1250ms;
 
@@ -32,11 +26,12 @@
   explicit StalledManager(const std::string& call_faults = "")
       : IncidentTest(1, {.call_faults = call_faults}) {}
 
-  /// Serves requests sent at `requested_at`, and checks the time granted to the engine against the client's.
-  OnFrame check_deadlines(Clock::time_point requested_at) {
+  /// Serves requests sent at `requested_at` and checks that the engine is granted no more than the client's
+  /// remaining time.
+  FrameHandler check_deadlines(Clock::time_point requested_at) {
     return [this, requested_at](CountingEngine& engine, Connection& connection,
                                 const engine_frames::Frame& frame) {
-      if (is(frame, engine_frames::Command::request)) {
+      if (is_command(frame, engine_frames::Command::request)) {
         const auto granted_ms =
             engine_frames::parse_count(engine_frames::field(frame.fields, "ms").value_or(""));
         const auto waited =
@@ -64,21 +59,23 @@
     std::this_thread::sleep_for(300ms);
     manager().resume();
     expect_correct_deadline(client(), requested_at);
-    std::this_thread::sleep_for(std::chrono::milliseconds(17 * i));  // at another distance from what is due
+    // Varies the phase relative to the manager's timers.
+    std::this_thread::sleep_for(std::chrono::milliseconds(17 * i));
   }
 }
 
-// Seen in another soak run, of the same kind: of four requests that were received in one read the manager
-// forwarded two, was stopped, and forwarded the others 278 ms later with all of their clients' time. It
-// counted from when it handled a request, not from when it had read it. Here it is stopped at many points of
-// such turns of its event loop.
+// A failure of another soak run: of four requests received in one read the manager forwarded two, was
+// stopped, and forwarded the other two 278 ms later with the full client timeout. It counted the time from
+// the handling of a request instead of from the read. This test stops the manager at many points of such
+// turns of its event loop.
 TEST_F(StalledManager, GrantsAnEngineNoMoreThanTheClientsTimeWhereverATurnIsInterrupted) {
   constexpr unsigned max_tries = 60;
   constexpr unsigned wanted_interruptions = 4;
   constexpr unsigned requests = 30;
-  constexpr auto pause_between_tries = 100ms;  // input read right after a stall counts as received before it
+  // Input read right after a stall counts as received before the stall.
+  constexpr auto pause_between_tries = 100ms;
   constexpr auto stall = 250ms;
-  // From the requests to the stop; adapts to the speed of the build and the machine.
+  // Time from sending the requests to the stop; adapts to the speed of the build and the machine.
   std::chrono::microseconds delay{100};
   auto send_together = [&, id = request_trace + 100]() mutable {
     std::string lines;
@@ -90,14 +87,14 @@
   const auto expect_all_answered = [&](Clock::time_point requested_at) {
     for (unsigned k = 0; k < requests; ++k) expect_correct_deadline(client(), requested_at);
   };
-  // From here on a connection for each request is open, and requests are forwarded at once.
+  // Opens a connection for each request, so that later requests are forwarded without waiting for one.
   expect_all_answered(send_together());
   unsigned interruptions = 0;
 
   for (unsigned i = 0; i < max_tries && interruptions < wanted_interruptions; ++i) {
     std::this_thread::sleep_for(pause_between_tries);
     const auto requested_at = send_together();
-    while (Clock::now() < requested_at + delay) {}  // a sleep would be too long
+    while (Clock::now() < requested_at + delay) {}  // busy-waits, since a sleep would take too long
     manager().stop();
     std::this_thread::sleep_for(stall);
     unsigned forwarded = 0;
