--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -21,7 +21,8 @@
   }
 };
 
-// All failures after which an attempt may have run: the client gets an error, and there is no retry.
+// After each failure that leaves open whether the attempt ran, the client gets an error and nothing is
+// retried.
 TEST_F(AttemptTest, AnAttemptThatMayHaveRunIsNotRetriedForANonIdempotentRequest) {
   std::string good, corrupted;
   engine_frames::put_frame(good, engine_frames::Side::engine, 0, 0x51, "parts=2,work=9", "a\tb\tc\n");
@@ -58,7 +59,7 @@
   }
 }
 
-// All answers that guarantee that the attempt did not run: it is retried once on another engine.
+// After each answer that guarantees that the attempt did not run, it is retried once.
 TEST_F(AttemptTest, AnAttemptThatNeverRanIsRetriedForANonIdempotentRequest) {
   for (const std::uint8_t code : {std::uint8_t{3}, std::uint8_t{5}}) {
     RunningServer server(non_idempotent_config());
@@ -72,9 +73,9 @@
     EXPECT_TRUE(wait_until([&] {
       repeated = first.next(1);
       if (repeated) return true;
-      EnginePeer side = EnginePeer(engine_listeners_[0], 1);
-      if (!side.is_open()) side = EnginePeer(engine_listeners_[1], 1);
-      if (side.is_open()) other.emplace(std::move(side));
+      EnginePeer peer = EnginePeer(engine_listeners_[0], 1);
+      if (!peer.is_open()) peer = EnginePeer(engine_listeners_[1], 1);
+      if (peer.is_open()) other.emplace(std::move(peer));
       if (other) repeated = other->next(1);
       return repeated.has_value();
     }));
@@ -94,17 +95,17 @@
   settings.known[0].records[0].port = late_listener.port();
   RunningServer server(std::move(settings));
   RawClient client(server.port());
-  std::vector<EnginePeer> sides;
+  std::vector<EnginePeer> peers;
 
   for (int id = 1; id <= 6; ++id) {
     client.send_request(id, 0x60U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
     EXPECT_TRUE(wait_until([&] {
-      if (EnginePeer side(engine_listeners_[1], 1); side.is_open()) sides.push_back(std::move(side));
-      for (EnginePeer& side : sides) {
-        request = side.next(1);
+      if (EnginePeer peer(engine_listeners_[1], 1); peer.is_open()) peers.push_back(std::move(peer));
+      for (EnginePeer& peer : peers) {
+        request = peer.next(1);
         if (!request) continue;
-        side.answer(0, request->id, "parts=1", "a\tb\tc\n");
+        peer.answer(0, request->id, "parts=1", "a\tb\tc\n");
         return true;
       }
       return false;
@@ -114,24 +115,25 @@
   late_listener.accept_all();
   EXPECT_TRUE(wait_until([&] { return server.counts().channels == 0; }));
 
-  const std::size_t open = sides.size();
+  const std::size_t open = peers.size();
   EXPECT_TRUE(wait_until([&] { return server.engine_connections() <= open; }));
 
   for (;;) {
-    EnginePeer side(late_listener, 1500);
-    if (!side.is_open()) break;
-    const auto received = side.next(0);
-    EXPECT_TRUE(!received || received->code != 1) << "a request on a connection that came up late";
+    EnginePeer peer(late_listener, 1500);
+    if (!peer.is_open()) break;
+    const auto received = peer.next(0);
+    EXPECT_TRUE(!received || received->code != 1)
+        << "a request was sent on a connection established after its timeout";
   }
 }
 
 // The engine begins to drain while a connection to it is being opened: the waiting request is sent to another
 // engine.
 TEST_F(AttemptTest, DrainingDuringConnectSendsTheRequestToAnotherEngine) {
-  FullListener opening;
+  FullListener full_listener;
   PlatformConfig settings = non_idempotent_config();
   settings.core.connect_timeout = 20s;
-  settings.known[0].records = {engine_record(1, opening.port())};
+  settings.known[0].records = {engine_record(1, full_listener.port())};
   RunningServer server(std::move(settings));
   DiscoveryPeer discovery_peer(discovery_listener_);
   RawClient client(server.port());
@@ -139,7 +141,7 @@
   client.send_request(1, 0x71);
   EXPECT_TRUE(wait_until([&] { return server.counts().attempts_out == 1; }));
 
-  discovery_peer.send_event(2, {engine_record(1, opening.port(), EngineState::draining),
+  discovery_peer.send_event(2, {engine_record(1, full_listener.port(), EngineState::draining),
                                 engine_record(2, engine_listeners_[1].port())});
   EnginePeer other(engine_listeners_[1]);
   ASSERT_TRUE(other.next());
@@ -147,9 +149,9 @@
   other.answer(0, 0x71, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
 
-  opening.accept_all();
-  EnginePeer late_listener(opening, 1500);
-  EXPECT_TRUE(!late_listener.is_open() || !late_listener.next(0));
+  full_listener.accept_all();
+  EnginePeer late_peer(full_listener, 1500);
+  EXPECT_TRUE(!late_peer.is_open() || !late_peer.next(0));
   EXPECT_EQ(server.counts().channels, 0U);
 }
 
--- a/tests/platform/client_close_test.cpp
+++ b/tests/platform/client_close_test.cpp
@@ -13,8 +13,8 @@
   std::vector<EnginePeer> idle_engines_;
 };
 
-// The manager decides to close while input is unread. Closing the socket then would reset the connection.
-TEST_F(ClientCloseTest, AConnectionRejectedOverUnreadInputIsShutDownAndNotReset) {
+// The manager closes a connection with unread input. Closing the socket directly would reset the connection.
+TEST_F(ClientCloseTest, AConnectionRejectedWithUnreadInputIsShutDownAndNotReset) {
   RunningServer server(config());
   RawClient client(server.port());
 
@@ -138,14 +138,14 @@
   EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 1; }));
 
   full_listener.accept_all();
-  std::vector<EnginePeer> sides;
+  std::vector<EnginePeer> peers;
   EXPECT_TRUE(wait_until([&] {
-    if (EnginePeer side(full_listener, 1); side.is_open()) sides.push_back(std::move(side));
-    for (EnginePeer& side : sides) {
-      const auto request = side.next(1);
+    if (EnginePeer peer(full_listener, 1); peer.is_open()) peers.push_back(std::move(peer));
+    for (EnginePeer& peer : peers) {
+      const auto request = peer.next(1);
       if (!request) continue;
       EXPECT_EQ(request->id, 0x44U);
-      side.answer(0, request->id, "parts=1", "a\tb\tc\n");
+      peer.answer(0, request->id, "parts=1", "a\tb\tc\n");
       return true;
     }
     return false;
@@ -157,18 +157,18 @@
 TEST_F(ClientCloseTest, NothingIsSentForAClientThatDisconnectedRightAfterItsRequest) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
-  RawClient closed_client(port), reset(port), regular_client(port);
+  RawClient closed_client(port), reset_client(port), regular_client(port);
 
-  for (RawClient* client : {&closed_client, &reset})
+  for (RawClient* client : {&closed_client, &reset_client})
     client->wire().write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n");
   EXPECT_EQ(closed_client.outcome(), "done");
-  EXPECT_EQ(reset.outcome(), "done");
+  EXPECT_EQ(reset_client.outcome(), "done");
 
   server.run([&](PlatformServer&) {
     closed_client.send_request(2, 0x46);
     closed_client.wire().close();
-    reset.send_request(2, 0x47);
-    reset.wire().reset();
+    reset_client.send_request(2, 0x47);
+    reset_client.wire().reset();
     return 0;
   });
   regular_client.send_request(1, 0x48);
@@ -194,25 +194,25 @@
 
   // Each answer is a line of 64 KB; what exceeds the socket buffers stays in the manager.
   int id = 1;
-  std::vector<EnginePeer> sides;
+  std::vector<EnginePeer> peers;
   while (server.unread_bytes() < std::size_t{600} * 1024 && id < 200) {
     ++id;
     client.send_request(id, 0x51U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
-    EnginePeer* at = nullptr;
+    EnginePeer* answering_peer = nullptr;
     EXPECT_TRUE(wait_until([&] {
-      if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) sides.push_back(std::move(side));
-      for (EnginePeer& side : sides) {
-        request = side.next(1);
-        at = &side;
+      if (EnginePeer peer(engine_listeners_[0], 1); peer.is_open()) peers.push_back(std::move(peer));
+      for (EnginePeer& peer : peers) {
+        request = peer.next(1);
+        answering_peer = &peer;
         if (request && request->code == 1) return true;
       }
       return false;
     }));
     ASSERT_TRUE(request);
-    at->answer(0, request->id, "parts=8", page);
+    answering_peer->answer(0, request->id, "parts=8", page);
     for (int number = 1; number < 8; ++number)
-      at->answer(9, request->id, "part_no=" + std::to_string(number), page);
+      answering_peer->answer(9, request->id, "part_no=" + std::to_string(number), page);
     EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 1; }));
   }
   client.wire().write(cancel_line(0x51));
@@ -222,8 +222,8 @@
   EXPECT_EQ(cancel->id, 0x51U);
 }
 
-// An answer, a cancellation, an invalid message and the client's close in one turn of the event loop, in
-// every order: the server keeps running, releases all resources and serves the next client.
+// An answer, a cancellation, an invalid message and the client's close arrive in one turn of the event loop,
+// in every order: the server keeps running, releases all resources and serves the next client.
 TEST_F(ClientCloseTest, EventsOfOneTurnMayArriveInAnyOrder) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
@@ -236,24 +236,24 @@
     EnginePeer engine;
     std::optional<engine_frames::Frame> request;
     ASSERT_TRUE(wait_until([&] {
-      if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) idle_engines_.push_back(std::move(side));
-      for (EnginePeer& side : idle_engines_) {
-        while (auto next = side.next(1))
+      if (EnginePeer peer(engine_listeners_[0], 1); peer.is_open()) idle_engines_.push_back(std::move(peer));
+      for (EnginePeer& peer : idle_engines_) {
+        while (auto next = peer.next(1))
           if (next->code == 1 && next->id == trace) {
             request = std::move(next);
-            engine = std::move(side);
+            engine = std::move(peer);
             return true;
           }
       }
       return false;
     }));
-    std::erase_if(idle_engines_, [](const EnginePeer& side) { return !side.is_open(); });
+    std::erase_if(idle_engines_, [](const EnginePeer& peer) { return !peer.is_open(); });
     server.run([&](PlatformServer&) {
-      for (const int what : order) {
-        if (what == 0) engine.answer(0, trace, "parts=1", "a\tb\tc\n");
-        if (what == 1) client.wire().write(cancel_line(trace));
-        if (what == 2) client.wire().write("noise\n");
-        if (what == 3) client.wire().shut_down();
+      for (const int event : order) {
+        if (event == 0) engine.answer(0, trace, "parts=1", "a\tb\tc\n");
+        if (event == 1) client.wire().write(cancel_line(trace));
+        if (event == 2) client.wire().write("noise\n");
+        if (event == 3) client.wire().shut_down();
       }
       return 0;
     });
@@ -264,8 +264,8 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// Silent clients use up the descriptors while the command channel is down. Once it is back, the manager
-// connects to it and to engines without exceeding the limit of descriptors.
+// Idle clients use up the descriptors while the command channel is down. Once it is available again, the
+// manager connects to it and to engines without exceeding the descriptor limit.
 TEST_F(ClientCloseTest, IdleClientsDoNotExhaustDescriptorsForTheCommandChannelAndEngines) {
   PlatformConfig settings = config();
   settings.limits.descriptors = 128;
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration file of the platform, and the group of tables that a statement uses.
+// The parser of the platform's configuration file, and the table group of a statement.
 #include "platform/config.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using namespace std::string_literals;
 
-TEST(Tables, TheGroupIsTheNumberOfTheSchema) {
+TEST(Tables, TheTableGroupIsTheNumberInTheSchemaName) {
   EXPECT_EQ(sql::table_group("SELECT * FROM sales_17.orders"), 17U);
   EXPECT_EQ(sql::table_group("select o_3.x from \"sales_17\".orders o_3"), 17U);
   EXPECT_EQ(sql::table_group("INSERT INTO staging.t SELECT 1 FROM /* sales_4.x */ sales_17.a -- sales_5.y"),
@@ -22,7 +22,7 @@
   EXPECT_EQ(sql::table_group("SELECT 1"), std::nullopt);
 }
 
-std::string config_text(const std::string& change = "", const std::string& to = "") {
+std::string config_text(const std::string& from = "", const std::string& to = "") {
   std::string text = R"({"name":"n3","listen":"127.0.0.4:4100","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"memory_mb":48,"sockets":256},"channel":"127.2.0.1:2379",
     "known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"generation":7,"reset":true,"instances":[
@@ -33,12 +33,12 @@
       "gain":1.0,"repeat":"pure"}],"family_info":{"class_threads":[4],"kind_cores":[8,8],"size_mb":[16384,16384]},
       "permissions":{"multiplex":32,"conn_idle_ns":15000000000,"dial_timeout_ns":250000000,"max_attempts":3},
       "rules":{"drain_grace_ns":250000000},"report":{"how":"inline","names":["util"]},"tenants":[]}})";
-  if (const auto at = text.find(change); !change.empty() && at != std::string::npos)
-    text.replace(at, change.size(), to);
+  if (const auto at = text.find(from); !from.empty() && at != std::string::npos)
+    text.replace(at, from.size(), to);
   return text;
 }
 
-TEST(PlatformConfig, IsReadWithTheParserOfTheSimulatorsSettings) {
+TEST(PlatformConfig, IsReadWithTheSettingsParserOfTheSimulator) {
   const auto read = platform::parse_config(config_text());
   ASSERT_TRUE(std::holds_alternative<platform::PlatformConfig>(read))
       << std::get<platform::Problem>(read).text;
@@ -67,7 +67,7 @@
   EXPECT_EQ(record.address, 0x7f010009U);
 }
 
-TEST(PlatformConfig, EveryDefectIsOneProblem) {
+TEST(PlatformConfig, EveryInvalidFileIsReportedAsAProblem) {
   EXPECT_TRUE(std::holds_alternative<platform::Problem>(platform::read_config("/nowhere/config.json")));
   const std::string complete = config_text();
   for (std::size_t size = 0; size < complete.size(); size += 97) {
--- a/tests/platform/discovery_events_test.cpp
+++ b/tests/platform/discovery_events_test.cpp
@@ -25,7 +25,7 @@
   return out;
 }
 
-TEST(CommandChannel, EventsByteByByteAndAtAnyBoundary) {
+TEST(CommandChannel, EventsAreEncodedExactlyAndDecodedAtAnySplit) {
   std::string cursor;
   discovery::put_cursor(cursor, 41);
 
@@ -62,21 +62,21 @@
 }
 
 TEST(CommandChannel, MalformedFramesAreDetected) {
-  const auto broken = [](const std::string& bytes) {
+  const auto is_malformed = [](const std::string& bytes) {
     discovery::EventReader reader;
     reader.feed(bytes);
     return std::holds_alternative<discovery::ProtocolViolation>(reader.next());
   };
 
-  EXPECT_TRUE(broken("\0\0\0\x08"s));
-  EXPECT_TRUE(broken("\xff\xff\xff\xff"s));
-  EXPECT_TRUE(broken("\0\0\0\x09\0\0\0\0\0\0\0\x01\x05"s));
-  EXPECT_TRUE(broken("\0\0\0\x0a\0\0\0\0\0\0\0\x01\x02\0"s));
+  EXPECT_TRUE(is_malformed("\0\0\0\x08"s));
+  EXPECT_TRUE(is_malformed("\xff\xff\xff\xff"s));
+  EXPECT_TRUE(is_malformed("\0\0\0\x09\0\0\0\0\0\0\0\x01\x05"s));
+  EXPECT_TRUE(is_malformed("\0\0\0\x0a\0\0\0\0\0\0\0\x01\x02\0"s));
 
   std::string state;
   discovery::put_event(state, event(1, false, {1}));
   state[13 + 10] = 3;
-  EXPECT_TRUE(broken(state));
+  EXPECT_TRUE(is_malformed(state));
 }
 
 TEST(EndpointList, ReportsWhichProcessesHaveEnded) {
@@ -93,11 +93,11 @@
   EXPECT_EQ(ended_by(event(1, true, {1, 2, 3})), none);
   EXPECT_EQ(ended_by(event(2, false, {2}, EngineState::draining)), none);
   EXPECT_EQ(ended_by(event(3, false, {2}, EngineState::removed)), second);
-  EXPECT_EQ(ended_by(event(4, false, {2})), none) << "its process before ended then";
+  EXPECT_EQ(ended_by(event(4, false, {2})), none) << "the previous process had already ended";
 
   auto restarted = event(5, false, {2});
   restarted.records[0].entry.started = std::chrono::seconds(7);
-  EXPECT_EQ(ended_by(restarted), second) << "started anew under its id";
+  EXPECT_EQ(ended_by(restarted), second) << "restarted under the same id";
 
   restarted.number = 6;
   restarted.records[0].port ^= 1;
--- a/tests/platform/discovery_test.cpp
+++ b/tests/platform/discovery_test.cpp
@@ -7,9 +7,9 @@
 using namespace std::string_literals;
 
 using DiscoveryTest = PlatformServerTest;
-using DiscoveryOfTwoTest = TwoEngineTest;
+using DiscoveryTwoEngineTest = TwoEngineTest;
 
-/// Serves `requests` requests of a client, on connections to one engine.
+/// Serves the given number of requests of a client, on connections to one engine.
 void serve_all(const Listener& listener, RawClient& client, int requests) {
   for (int i = 0; i < requests;) {
     EnginePeer engine(listener);
@@ -29,7 +29,7 @@
   }
 }
 
-TEST_F(DiscoveryOfTwoTest, EventsAreAppliedOnceAndAMissingOneIsRequested) {
+TEST_F(DiscoveryTwoEngineTest, EventsAreAppliedOnceAndAMissingOneIsRequested) {
   RunningServer server(config());
   DiscoveryPeer discovery_peer(discovery_listener_);
 
@@ -58,7 +58,7 @@
   third_peer.wire.write(partial_event);
   EXPECT_TRUE(wait_until([&] { return server.last_event() == 3; }));
 
-  // The drained engine gets no requests; the successive engines at the other address do.
+  // The draining engine gets no requests; the successive engines at the other address do.
   RawClient client(server.port());
   for (int i = 1; i <= 4; ++i) client.send_request(i, 0x100U + static_cast<unsigned>(i));
   ASSERT_NO_FATAL_FAILURE(serve_all(engine_listeners_[0], client, 4));
@@ -105,8 +105,8 @@
   const std::string path = ::testing::TempDir() + "paddlestand-down-" + std::to_string(::getpid()) + ".json";
   PlatformConfig settings = config();
   {
-    Listener down;  // its port refuses connections once it is closed
-    settings.discovery_endpoint.port = down.port();
+    Listener closed_listener;  // its port refuses connections after the destructor
+    settings.discovery_endpoint.port = closed_listener.port();
   }
   RunningServer server(std::move(settings), path);
   Listener new_listener;
@@ -122,7 +122,7 @@
   ::unlink(path.c_str());
 }
 
-// Successive engine ids at one address, each with its own request.
+// Successive engines with different ids at one address each serve a request.
 TEST_F(DiscoveryTest, SuccessiveEnginesLeakNoConnectionAndNoAddress) {
   RunningServer server(config());
   DiscoveryPeer discovery_peer(discovery_listener_);
@@ -151,7 +151,7 @@
 
 // The event arrives in the same turn of the event loop in which the silence timeout fires: it is applied or
 // requested again.
-TEST_F(DiscoveryOfTwoTest, AnEventDuringTheHeartbeatTimeoutIsNotLost) {
+TEST_F(DiscoveryTwoEngineTest, AnEventDuringTheHeartbeatTimeoutIsNotLost) {
   RunningServer server(config());
   std::optional<DiscoveryPeer> discovery_peer;
 
--- a/tests/platform/engine_frames_test.cpp
+++ b/tests/platform/engine_frames_test.cpp
@@ -12,7 +12,7 @@
 
 using engine_frames::Side;
 
-TEST(Frames, ARequestByteByByte) {
+TEST(Frames, ARequestIsEncodedExactly) {
   std::string out;
   engine_frames::Request request;
 
@@ -44,7 +44,7 @@
   return out;
 }
 
-TEST(Frames, AreReadAtAnyBoundary) {
+TEST(Frames, AreDecodedAtAnySplit) {
   const std::string bytes =
       frame(0, 5, "parts=2,work=81.5,peak=96,gauges=inflight:7;util:0.61", "a\tb\tc\n") +
       frame(9, 5, "part_no=1", "d\te\tf\n") + frame(3, 6, "");
@@ -76,37 +76,37 @@
 
 TEST(Frames, AMalformedFrameIsDetectedAtItsFirstInvalidByte) {
   const std::string good = frame(0, 5, "parts=1", "a\tb\tc\n");
-  const auto broken = [](const std::string& bytes) {
+  const auto is_malformed = [](const std::string& bytes) {
     engine_frames::FrameReader reader(Side::engine);
     reader.feed(bytes);
     return std::holds_alternative<engine_frames::ProtocolViolation>(reader.next());
   };
 
-  EXPECT_FALSE(broken(good));
-  EXPECT_TRUE(broken("\x80"));  // a manager's magic byte
-  EXPECT_TRUE(broken("\x81\x01"s));  // a manager's frame code
-  EXPECT_TRUE(broken(
-      "\x81\x00\x00\x00\xc0\x00\x00\x00"s));  // a body of 3 GB is rejected before any of its bytes arrive
-  EXPECT_TRUE(broken("\x81\x00\xff\xff\x00\x00\x00\x00"s));
+  EXPECT_FALSE(is_malformed(good));
+  EXPECT_TRUE(is_malformed("\x80"));  // a manager's magic byte
+  EXPECT_TRUE(is_malformed("\x81\x01"s));  // a manager's frame code
+  // A body of 3 GB is rejected before any of its bytes arrive.
+  EXPECT_TRUE(is_malformed("\x81\x00\x00\x00\xc0\x00\x00\x00"s));
+  EXPECT_TRUE(is_malformed("\x81\x00\xff\xff\x00\x00\x00\x00"s));
 
   for (std::size_t at = 16; at < good.size(); ++at) {  // fields, body, checksum
     std::string corrupted = good;
     corrupted[at] = static_cast<char>(corrupted[at] ^ 1);
-    EXPECT_TRUE(broken(corrupted)) << at;
+    EXPECT_TRUE(is_malformed(corrupted)) << at;
   }
-  const auto unreadable = [](std::uint8_t code, std::string_view fields) {
+  const auto has_invalid_fields = [](std::uint8_t code, std::string_view fields) {
     engine_frames::Frame incoming;
     incoming.code = code;
     incoming.fields = fields;
     return std::holds_alternative<engine_frames::ProtocolViolation>(engine_frames::read_answer(incoming));
   };
-  EXPECT_FALSE(unreadable(0, "work=1,unknown=x"));
+  EXPECT_FALSE(has_invalid_fields(0, "work=1,unknown=x"));
 
   for (const char* fields : {"work=x", "work=-1", "work=nan", "peak=", "parts=0", "parts=65", "parts=-1",
                              "parts=1.5", "gauges=util", "gauges=util:x"})
-    EXPECT_TRUE(unreadable(0, fields)) << fields;
-  EXPECT_TRUE(unreadable(9, ""));
-  EXPECT_TRUE(unreadable(9, "part_no=9999"));
+    EXPECT_TRUE(has_invalid_fields(0, fields)) << fields;
+  EXPECT_TRUE(has_invalid_fields(9, ""));
+  EXPECT_TRUE(has_invalid_fields(9, "part_no=9999"));
 }
 
 engine_frames::Answer answer(engine_frames::Reply code, std::uint32_t pages, std::uint32_t page,
@@ -152,13 +152,14 @@
   EXPECT_TRUE(
       std::holds_alternative<ProtocolViolation>(not_requested.add(answer(Reply::page, 1, 1, "a\t\t\n"))));
 
-  platform::PagedAnswer beyond;
-  beyond.add(answer(Reply::ok, 2, 0, "a\t\t\n"));
-  EXPECT_TRUE(std::holds_alternative<ProtocolViolation>(beyond.add(answer(Reply::page, 1, 2, "a\t\t\n"))));
+  platform::PagedAnswer page_out_of_range;
+  page_out_of_range.add(answer(Reply::ok, 2, 0, "a\t\t\n"));
+  EXPECT_TRUE(
+      std::holds_alternative<ProtocolViolation>(page_out_of_range.add(answer(Reply::page, 1, 2, "a\t\t\n"))));
 
-  platform::PagedAnswer lost;  // the engine no longer has the page
-  lost.add(answer(Reply::ok, 2, 0, "a\t\t\n"));
-  const auto end = lost.add(answer(Reply::error, 1, 0, ""));
+  platform::PagedAnswer lost_page;  // the engine no longer has the page
+  lost_page.add(answer(Reply::ok, 2, 0, "a\t\t\n"));
+  const auto end = lost_page.add(answer(Reply::error, 1, 0, ""));
   ASSERT_TRUE(std::holds_alternative<platform::PagedAnswer::Done>(end));
   EXPECT_EQ(std::get<platform::PagedAnswer::Done>(end).ending, core::Ending::engine_error);
 
--- a/tests/platform/graceful_shutdown_test.cpp
+++ b/tests/platform/graceful_shutdown_test.cpp
@@ -8,7 +8,7 @@
 
 using GracefulShutdownTest = PlatformServerTest;
 
-// A restarted server that has known events but no command channel.
+// A restarted server knows the engines from its configuration but can't reach the command channel.
 TEST_F(GracefulShutdownTest, AServerStartedWithoutACommandChannelIsReadyAndServes) {
   PlatformConfig settings = config();
   std::optional<Listener> closed_listener(std::in_place);
@@ -32,8 +32,9 @@
 
 // SIGTERM while a reload is retried because of an unreadable file, the command channel is down and an engine
 // hangs.
-TEST_F(GracefulShutdownTest, AShutdownDuringAReloadWithoutACommandChannelFinishes) {
-  const std::string path = ::testing::TempDir() + "paddlestand-leave-" + std::to_string(::getpid()) + ".json";
+TEST_F(GracefulShutdownTest, AShutdownDuringAReloadWithoutACommandChannelCompletes) {
+  const std::string path =
+      ::testing::TempDir() + "paddlestand-shutdown-" + std::to_string(::getpid()) + ".json";
   std::ofstream(path) << "{\"name\":";
   PlatformConfig settings = config();
 
@@ -63,9 +64,9 @@
   ::unlink(path.c_str());
 }
 
-// The kernel has accepted the connection, with input, before the event loop sees it and the listener is
-// closed.
-TEST_F(GracefulShutdownTest, AConnectionNotYetSeenByTheLoopIsAcceptedWhenTheListenerCloses) {
+// The kernel has established the connection and received input before the event loop accepts it and the
+// listener is closed.
+TEST_F(GracefulShutdownTest, AConnectionQueuedInTheKernelIsAcceptedWhenTheListenerCloses) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
   std::vector<RawClient> clients;
@@ -89,7 +90,7 @@
 
 // The connection is accepted in the same turn of the event loop in which the listener is closed. The order of
 // handlers within a turn is up to the loop, so several turns are tried.
-TEST_F(GracefulShutdownTest, AConnectionAcceptedInTheTurnOfTheCloseIsServed) {
+TEST_F(GracefulShutdownTest, AConnectionAcceptedInTheSameTurnAsTheCloseOfTheListenerIsServed) {
   for (int turns = 0; turns < 5; ++turns) {
     RunningServer server(config());
     const std::uint16_t port = server.port();
@@ -117,7 +118,7 @@
   }
 }
 
-TEST_F(GracefulShutdownTest, IdleConnectionsAreShutDownAndTheProcessEndsOnceTheyAreClosed) {
+TEST_F(GracefulShutdownTest, IdleConnectionsAreShutDownAndTheServerStopsOnceTheyAreClosed) {
   PlatformConfig settings = config();
   settings.core.module.may_cancel = false;  // the attempt remains in progress regardless of timing
   boost::asio::io_context io(1);
@@ -165,11 +166,11 @@
 
   EXPECT_EQ(grace_period(800ms, 1200ms), 1900ms);
   EXPECT_EQ(grace_period(800ms, 25s), 3700ms);
-  EXPECT_EQ(grace_period(800ms, 0s), 3700ms);  // a class without a deadline counts with the maximum
+  EXPECT_EQ(grace_period(800ms, 0s), 3700ms);  // the maximum applies to a class without a deadline
 }
 
-// The client would wait until after SIGKILL and the engine hangs: the request must be answered before.
-TEST_F(GracefulShutdownTest, AHangingRequestWithAShortDeadlineIsAnsweredBeforeTheKill) {
+// The engine hangs and the client timeout ends after SIGKILL: the request must be answered before SIGKILL.
+TEST_F(GracefulShutdownTest, AHangingRequestWithAShortDeadlineIsAnsweredBeforeSigkill) {
   PlatformConfig settings = config();
   for (ClassSettings& class_settings : settings.core.module.classes) class_settings.deadline = 400ms;
   boost::asio::io_context io(1);
@@ -211,7 +212,7 @@
   ASSERT_TRUE(engine.next());
 
   begin_shutdown();
-  begin_shutdown();  // has no effect the second time
+  begin_shutdown();  // the second call has no effect
   client.wire().write("{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"isWell\"}\n");
   const auto health = client.next();
   ASSERT_TRUE(health.is_object());
@@ -228,7 +229,7 @@
   engine.answer(0, 0x900, "parts=1", "a\tb\tc\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\n");
 
-  loop.join();  // ends by itself once all requests are answered
+  loop.join();  // the event loop ends once all requests are answered
 }
 
 }  // namespace
--- a/tests/platform/input_times_test.cpp
+++ b/tests/platform/input_times_test.cpp
@@ -1,3 +1,4 @@
+// The estimated arrival times of input, and the time limits of partial messages.
 #include "platform/input_times.hpp"
 
 #include <gtest/gtest.h>
@@ -11,33 +12,34 @@
 
 constexpr Duration no_lag{};
 
-TEST(InputTimes, CountFromTheReadWhereNothingWasLate) {
+TEST(InputTimes, TheArrivalIsTheReadTimeIfNothingWasDelayed) {
   InputTimes times(0ms);
   times.record_read(ReadOutcome::drained, 100ms, 101ms, no_lag);
   EXPECT_EQ(times.arrived(), TimePoint{100ms});
   EXPECT_EQ(times.drained_at(), TimePoint{100ms});
 }
 
-// Guards against computing a client's deadline from the read when accepting or the event loop was late.
-TEST(InputTimes, CountFromTheEarliestTimeThatLatenessAllows) {
-  InputTimes accepted_late(300ms);
-  accepted_late.record_read(ReadOutcome::drained, 1000ms, 1000ms, no_lag);
-  EXPECT_EQ(accepted_late.arrived(), TimePoint{700ms});
+// Guards against computing a client's deadline from the time of the read if accept or the event loop was
+// delayed.
+TEST(InputTimes, TheArrivalIsEarlierByTheDelayOfAcceptOrTheEventLoop) {
+  InputTimes delayed_accept(300ms);
+  delayed_accept.record_read(ReadOutcome::drained, 1000ms, 1000ms, no_lag);
+  EXPECT_EQ(delayed_accept.arrived(), TimePoint{700ms});
 
-  InputTimes loop_late(0ms);
-  loop_late.record_read(ReadOutcome::drained, 1000ms, 1000ms, 200ms);
-  EXPECT_EQ(loop_late.arrived(), TimePoint{800ms});
+  InputTimes delayed_loop(0ms);
+  delayed_loop.record_read(ReadOutcome::drained, 1000ms, 1000ms, 200ms);
+  EXPECT_EQ(delayed_loop.arrived(), TimePoint{800ms});
 }
 
-TEST(InputTimes, NothingArrivedBeforeTheInputWasLastDrained) {
+TEST(InputTimes, TheArrivalIsNotBeforeTheInputWasLastDrained) {
   InputTimes times(300ms);
   times.record_read(ReadOutcome::drained, 1000ms, 1000ms, no_lag);
   times.record_read(ReadOutcome::more_possible, 1100ms, 1100ms, 500ms);
   EXPECT_EQ(times.arrived(), TimePoint{1000ms});
 }
 
-// Guards against input that waited while reads failed, and was timed from the first successful read.
-TEST(InputTimes, CountFromTheFirstReadThatFailed) {
+// Guards against timing input from the first successful read if earlier reads failed while it was available.
+TEST(InputTimes, TheArrivalCountsFromTheFirstFailedRead) {
   InputTimes times(0ms);
   times.record_read(ReadOutcome::drained, 1000ms, 1000ms, no_lag);
   times.record_read(ReadOutcome::failing, 1200ms, 1200ms, 50ms);
@@ -61,7 +63,7 @@
   EXPECT_TRUE(message.is_overdue(7100ms));
 }
 
-TEST(PartialMessage, RestartsItsLimitsAfterACompleteOne) {
+TEST(PartialMessage, RestartsItsTimeLimitsAfterACompleteMessage) {
   PartialMessage message;
   message.record_input(true, false, 1s);
   message.record_input(true, true, 6900ms);
--- a/tests/platform/jsonrpc_test.cpp
+++ b/tests/platform/jsonrpc_test.cpp
@@ -35,7 +35,7 @@
 }
 const std::string trace = R"("trace":"9b1f03aa5c7e2d41")", body = R"("content":"U0VMRUNUIDE=")";
 
-TEST(Calls, EquivalentFormsOfAMessageAreReadAlike) {
+TEST(Calls, EquivalentFormsOfAMessageAreReadTheSame) {
   const auto all = classes();
   const jsonrpc::CallReader reader(all);
   const std::string key = R"("trace":"9b1f03aa5c7e2d41","patience":1500,"content":"U0VMRUNUIDE=")";
@@ -159,15 +159,15 @@
         R"(,"nonce":"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}})",
 };
 
-TEST(Calls, AMalformedMessageIsAProblemWithItsId) {
+TEST(Calls, AMalformedMessageIsReportedWithItsId) {
   const auto all = classes();
   const jsonrpc::CallReader reader(all);
   for (const std::string& line : malformed_messages)
     EXPECT_TRUE(std::holds_alternative<jsonrpc::Problem>(reader.read(line))) << line.substr(0, 200);
-  const auto under =
+  const auto problem =
       std::get<jsonrpc::Problem>(reader.read(report("12", trace + R"(,"patience":-1,)" + body)));
-  EXPECT_EQ(under.id, 12);
-  EXPECT_EQ(under.code, jsonrpc::ErrorCode::invalid_params);
+  EXPECT_EQ(problem.id, 12);
+  EXPECT_EQ(problem.code, jsonrpc::ErrorCode::invalid_params);
 }
 
 TEST(Calls, LinesAreSplitAtAnyBoundaryAndBounded) {
--- a/tests/platform/manager_process.hpp
+++ b/tests/platform/manager_process.hpp
@@ -12,15 +12,15 @@
 
 namespace paddlestand::platform::test {
 
-/// The settings of a manager with some engines: three classes that differ in idempotency.
+/// The configuration of a manager with the given engines and three classes that differ in idempotency.
 inline std::string process_config(const std::vector<std::uint16_t>& engines, std::uint16_t listen,
                                   std::uint16_t discovery_server, std::uint32_t max_descriptors = 256,
                                   std::uint32_t streams_per_connection = 8) {
-  const auto class_named = [](const char* name, const char* repeat, const char* more) {
+  const auto class_json = [](const char* name, const char* repeat, const char* more_members) {
     return std::string("{\"name\":\"") + name +
            "\",\"aim_ns\":3000000000,\"deadline_ns\":6000000000,\"gain\":1.0,\"late_value\":0.5,\"repeat\":"
            "\"" +
-           repeat + "\"" + more + "}";
+           repeat + "\"" + more_members + "}";
   };
   std::string instances;
   for (std::size_t i = 0; i < engines.size(); ++i) {
@@ -38,9 +38,9 @@
          instances +
          R"(]}}]},"settings":{"balancers":1,"position":0,"az":0,"areas":["here"],"flavors":["std"],)"
          R"("granularity_ns":5000000,"classes":[)" +
-         class_named("report", "pure", "") + "," +
-         class_named("load", "token", ",\"key_scope\":\"all\",\"key_ttl_ns\":20000000000,\"in_turn\":true") +
-         "," + class_named("settle", "side_effect", "") +
+         class_json("report", "pure", "") + "," +
+         class_json("load", "token", ",\"key_scope\":\"all\",\"key_ttl_ns\":20000000000,\"in_turn\":true") +
+         "," + class_json("settle", "side_effect", "") +
          R"(],"family_info":{"class_threads":[1,1,1],"kind_cores":[16],"size_mb":[16384]},)"
          R"("permissions":{"multiplex":)" +
          std::to_string(streams_per_connection) +
@@ -50,11 +50,11 @@
          R"("tenants":[]}})";
 }
 
-/// Starts `paddlestand platform` and waits until it reports that it is ready; kills it on destruction.
-/// Records its log, which it writes to standard error.
+/// Starts `paddlestand platform`, waits until it reports that it is ready, and kills it on destruction.
+/// Captures its log from standard error.
 class ManagerProcess {
  public:
-  /// `call_faults`: rules of tests/faults/call_faults.cpp for its system calls; empty for none.
+  /// `call_faults`: fault rules of tests/faults/call_faults.cpp for its system calls; empty for none.
   ManagerProcess(const std::string& config, std::uint16_t port, const std::string& call_faults = "")
       : port_(port),
         folder_(std::filesystem::temp_directory_path() /
@@ -67,7 +67,7 @@
         paddlestand::test::program_under_test(), "platform", "--trace", environment,
         boost::process::std_in<boost::process::null, boost::process::std_out> boost::process::null,
         boost::process::std_err > (folder_ / "log").string());
-    ready_ = wait_until([this] { return answers_ready(); });
+    ready_ = wait_until([this] { return reports_ready(); });
   }
   ~ManagerProcess() {
     std::error_code ignored;
@@ -95,18 +95,19 @@
   [[nodiscard]] std::size_t count_logged(const std::string& event) const {
     const std::string all = log(), wanted = "\"event\":\"" + event + "\"";
     std::size_t count = 0;
-    for (auto at = all.find(wanted); at != std::string::npos; at = all.find(wanted, at + 1)) ++count;
+    for (auto found = all.find(wanted); found != std::string::npos; found = all.find(wanted, found + 1))
+      ++count;
     return count;
   }
 
  private:
-  [[nodiscard]] bool answers_ready() const {
+  [[nodiscard]] bool reports_ready() const {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port_);
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    const bool connected = ::connect(socket, reinterpret_cast<sockaddr*>(&at), sizeof(at)) == 0;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port_);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    const bool connected = ::connect(socket, reinterpret_cast<sockaddr*>(&address), sizeof(address)) == 0;
     const Wire wire(socket);
     if (!connected) return false;
     wire.write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n");
--- a/tests/platform/output_buffer_test.cpp
+++ b/tests/platform/output_buffer_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_EQ(output.unwritten_answers(), 0U);
 }
 
-TEST(OutputBuffer, ANoticeCountsAsLineButNotAsAnswer) {
+TEST(OutputBuffer, ANoticeCountsAsALineButNotAsAnAnswer) {
   OutputBuffer output;
   output.text() += "done\n";
   output.append_finished(LineKind::notice);
@@ -32,7 +32,7 @@
   EXPECT_EQ(output.unwritten_answers(), 0U);
 }
 
-TEST(OutputBuffer, ReleasesWhatWasWrittenFromTheThresholdOn) {
+TEST(OutputBuffer, ReleasesWrittenBytesOnceTheyReachTheThreshold) {
   OutputBuffer output;
   output.append("one\ntwo\n", LineKind::answer);
   output.consume(4);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -22,26 +22,27 @@
   EXPECT_EQ(engine_frames::field(request->fields, "kind"), "load");
   EXPECT_EQ(engine_frames::field(request->fields, "token"), "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
-  const auto wait = engine_frames::parse_count(engine_frames::field(request->fields, "ms").value_or(""));
-  EXPECT_TRUE(wait && *wait >= 1 && *wait <= 7000);
+  const auto granted_ms =
+      engine_frames::parse_count(engine_frames::field(request->fields, "ms").value_or(""));
+  EXPECT_TRUE(granted_ms && *granted_ms >= 1 && *granted_ms <= 7000);
 
   engine.answer(0, 0x999, "", "not\tasked\tfor\n");  // with an unknown id
   engine.answer(0, 0xabc, "parts=3,work=20,peak=10", "a\tb\tc\n");
   engine.answer(0, 0xabc, "parts=3,work=20,peak=10", "a\tb\tc\n");  // a duplicate
   for (const char* page : {"1", "2"}) {
-    const auto wanted = engine.next();
-    ASSERT_TRUE(wanted);
-    EXPECT_EQ(wanted->code, 6);
-    EXPECT_EQ(wanted->fields, page);
+    const auto page_request = engine.next();
+    ASSERT_TRUE(page_request);
+    EXPECT_EQ(page_request->code, 6);
+    EXPECT_EQ(page_request->fields, page);
   }
   engine.answer(9, 0xabc, "part_no=2", "g\th\ti\n");
   engine.answer(9, 0xabc, "part_no=1", "d\te\tf\n");
   EXPECT_EQ(client.outcome(), "served:a\tb\tc\nd\te\tf\ng\th\ti\n");
   EXPECT_EQ(client.last_id(), 7);
 
-  const auto no_more = engine.next();
-  ASSERT_TRUE(no_more);
-  EXPECT_EQ(no_more->code, 7);
+  const auto discard_request = engine.next();
+  ASSERT_TRUE(discard_request);
+  EXPECT_EQ(discard_request->code, 7);
 
   // Late duplicates have no effect, and the connection remains in use.
   engine.answer(9, 0xabc, "part_no=1", "d\te\tf\n");
@@ -62,7 +63,7 @@
   flipped[flipped.size() - 6] = static_cast<char>(flipped[flipped.size() - 6] ^ 4);
   const std::vector<std::string> corrupted{flipped,
                                            longer,
-                                           "noise that is no frame",
+                                           "noise that is not a frame",
                                            "\x81\x02"s,
                                            "\x81\x00\x00\x04\xc0\x00\x00\x00"s,
                                            good.substr(0, good.size() - 3)};
@@ -193,20 +194,21 @@
                           cancel_line(0x700U + static_cast<unsigned>(i));
     unknown += RawClient::request_line(i, 0x800U + static_cast<unsigned>(i)) + cancel_line(0xfffff);
   }
-  RawClient cancelling(server.port());
-  cancelling.wire().write(
+  RawClient cancelling_client(server.port());
+  cancelling_client.wire().write(
       cancelled_requests.substr(0, cancelled_requests.find('\n', cancelled_requests.find("forget")) + 1));
-  EXPECT_EQ(cancelling.outcome(), "error:-32001");
+  EXPECT_EQ(cancelling_client.outcome(), "error:-32001");
 
-  RawClient flood(server.port());  // cancelling requests that are not open does not raise the limit of 32
-  flood.wire().write(unknown);
-  EXPECT_EQ(flood.outcome(), "error:-32001");
-  EXPECT_TRUE(flood.wire().is_closed_by_peer());
+  // Cancelling requests that are not open does not raise the limit of 32.
+  RawClient flooding_client(server.port());
+  flooding_client.wire().write(unknown);
+  EXPECT_EQ(flooding_client.outcome(), "error:-32001");
+  EXPECT_TRUE(flooding_client.wire().is_closed_by_peer());
   EXPECT_EQ(server.counts().sessions, 0U);
   EXPECT_FALSE(EnginePeer(engine_listeners_[0], 0).is_open());
 }
 
-TEST_F(PlatformServerTest, StatementsOfOpenRequestsAreBoundedTogether) {
+TEST_F(PlatformServerTest, TheTotalSizeOfOpenStatementsIsBounded) {
   PlatformConfig settings = config();
   settings.limits.memory_mb = 1;  // allows 128 KiB of statements
   RunningServer server(std::move(settings));
--- a/tests/platform/sockets.hpp
+++ b/tests/platform/sockets.hpp
@@ -1,4 +1,4 @@
-/// Loopback sockets of the peers that tests control.
+/// Loopback sockets for peers that tests control.
 #pragma once
 
 #include <arpa/inet.h>
@@ -35,11 +35,11 @@
 
   static Wire connect(std::uint16_t port) {
     Wire wire(::socket(AF_INET, SOCK_STREAM, 0));
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port);
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    EXPECT_EQ(::connect(wire.socket_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    EXPECT_EQ(::connect(wire.socket_, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
     return wire;
   }
 
@@ -48,10 +48,10 @@
     if (socket_ >= 0) ::close(socket_);
     socket_ = -1;
   }
-  /// Resets the connection.
+  /// Closes the connection with a reset.
   void reset() {
-    const linger now{1, 0};
-    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    const linger no_linger{1, 0};
+    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &no_linger, sizeof(no_linger));
     close();
   }
   /// Returns false if the server has closed the connection.
@@ -69,16 +69,16 @@
     pollfd poll_entry{socket_, POLLIN, 0};
     if (::poll(&poll_entry, 1, wait_ms) <= 0) return std::string{};
     char part[65536];
-    const ssize_t got = ::recv(socket_, part, sizeof(part), 0);
-    if (got < 0) errno_ = errno;
-    if (got <= 0) return std::nullopt;
-    return std::string(part, static_cast<std::size_t>(got));
+    const ssize_t received = ::recv(socket_, part, sizeof(part), 0);
+    if (received < 0) read_errno_ = errno;
+    if (received <= 0) return std::nullopt;
+    return std::string(part, static_cast<std::size_t>(received));
   }
   [[nodiscard]] bool has_input() const {
     pollfd poll_entry{socket_, POLLIN, 0};
     return ::poll(&poll_entry, 1, 0) > 0;
   }
-  /// Waits until the server ends the connection. Returns false on a timeout.
+  /// Waits until the server closes the connection. Returns false on a timeout.
   bool is_closed_by_peer() const {
     for (;;) {
       const auto more = read();
@@ -86,18 +86,19 @@
       if (more->empty()) return false;
     }
   }
-  /// Whether the server ends the connection by a shutdown; a reset could lose the last answer.
+  /// Whether the server closes the connection with a shutdown; a reset could lose the last answer.
   bool is_shut_down_by_peer() const {
     const bool ended = is_closed_by_peer();
-    char none{};
-    return ended && ::recv(socket_, &none, 1, 0) == 0 && errno_ == 0;
+    char byte{};
+    return ended && ::recv(socket_, &byte, 1, 0) == 0 && read_errno_ == 0;
   }
-  [[nodiscard]] bool was_reset() const { return errno_ == ECONNRESET; }
+  [[nodiscard]] bool was_reset() const { return read_errno_ == ECONNRESET; }
+  /// Shuts down the sending direction.
   void shut_down() const { ::shutdown(socket_, SHUT_WR); }
 
  private:
   int socket_;
-  mutable int errno_ = 0;
+  mutable int read_errno_ = 0;
 };
 
 /// Listens for connections from a server.
@@ -107,14 +108,14 @@
   explicit Listener(int backlog = 64, int receive_buffer = 0) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     if (receive_buffer > 0)
       ::setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof(receive_buffer));
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof(at);
-    EXPECT_EQ(::bind(socket_, reinterpret_cast<sockaddr*>(&at), size), 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof(address);
+    EXPECT_EQ(::bind(socket_, reinterpret_cast<sockaddr*>(&address), size), 0);
     EXPECT_EQ(::listen(socket_, backlog), 0);
-    EXPECT_EQ(::getsockname(socket_, reinterpret_cast<sockaddr*>(&at), &size), 0);
-    port_ = ntohs(at.sin_port);
+    EXPECT_EQ(::getsockname(socket_, reinterpret_cast<sockaddr*>(&address), &size), 0);
+    port_ = ntohs(address.sin_port);
   }
   ~Listener() { ::close(socket_); }
   Listener(const Listener&) = delete;
@@ -139,13 +140,13 @@
   FullListener() : Listener(0) {
     for (;;) {
       const int filler = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      sockaddr_in at{};
-      at.sin_family = AF_INET;
-      at.sin_port = htons(port());
-      at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-      ::connect(filler, reinterpret_cast<sockaddr*>(&at), sizeof(at));
-      pollfd up{filler, POLLOUT, 0};
-      if (::poll(&up, 1, 300) <= 0) {
+      sockaddr_in address{};
+      address.sin_family = AF_INET;
+      address.sin_port = htons(port());
+      address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+      ::connect(filler, reinterpret_cast<sockaddr*>(&address), sizeof(address));
+      pollfd poll_entry{filler, POLLOUT, 0};
+      if (::poll(&poll_entry, 1, 300) <= 0) {
         ::close(filler);
         return;
       }
