--- a/tests/platform/client_close_test.cpp
+++ b/tests/platform/client_close_test.cpp
@@ -13,8 +13,8 @@
   std::vector<EnginePeer> idle_engines_;
 };
 
-// The manager decides to close while input is unread. Closing the socket then would reset the connection.
-TEST_F(ClientCloseTest, AConnectionRejectedOverUnreadInputIsShutDownAndNotReset) {
+// The manager closes a connection with unread input. Closing the socket directly would reset the connection.
+TEST_F(ClientCloseTest, AConnectionRejectedWithUnreadInputIsShutDownAndNotReset) {
   RunningServer server(config());
   RawClient client(server.port());
 
@@ -24,7 +24,7 @@
   EXPECT_FALSE(client.wire().was_reset());
 
   client.wire().close();
-  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
 }
 
 TEST_F(ClientCloseTest, ARequestAfterTheShutdownIsDroppedAndTheConnectionNotReset) {
@@ -42,7 +42,7 @@
   const auto request = engine.next();
   ASSERT_TRUE(request);
   EXPECT_EQ(request->id, 0x22U);
-  EXPECT_TRUE(comes_true([&] { return server.dropped_bytes() == RawClient::request_line(1, 0x21).size(); }));
+  EXPECT_TRUE(wait_until([&] { return server.dropped_bytes() == RawClient::request_line(1, 0x21).size(); }));
   EXPECT_TRUE(client.wire().is_shut_down_by_peer());
   EXPECT_FALSE(client.wire().was_reset());
 
@@ -56,7 +56,7 @@
   RawClient client(server.port());
   client.wire().write("noise\n");
   EXPECT_TRUE(client.wire().is_shut_down_by_peer());
-  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
 }
 
 TEST_F(ClientCloseTest, AClientThatKeepsWritingAfterItsRejectionIsClosed) {
@@ -68,7 +68,7 @@
   std::size_t written = 0;
   while (written < 256 * more.size() && client.wire().write(more)) written += more.size();
   EXPECT_LT(written, 256 * more.size());
-  EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
 }
 
 // Every read ends inside a message for longer than the time limit of a message, but each message is completed
@@ -127,25 +127,25 @@
   cancelling_client.send_request(1, 0x41);
   closing_client.send_request(1, 0x42);
   resetting_client.send_request(1, 0x43);
-  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 3; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 3; }));
 
   cancelling_client.wire().write(cancel_line(0x41));
   closing_client.wire().close();
   resetting_client.wire().reset();
-  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 0; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 0; }));
 
   waiting_client.send_request(1, 0x44);
-  EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 1; }));
+  EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 1; }));
 
   full_listener.accept_all();
-  std::vector<EnginePeer> sides;
-  EXPECT_TRUE(comes_true([&] {
-    if (EnginePeer side(full_listener, 1); side.is_open()) sides.push_back(std::move(side));
-    for (EnginePeer& side : sides) {
-      const auto request = side.next(1);
+  std::vector<EnginePeer> peers;
+  EXPECT_TRUE(wait_until([&] {
+    if (EnginePeer peer(full_listener, 1); peer.is_open()) peers.push_back(std::move(peer));
+    for (EnginePeer& peer : peers) {
+      const auto request = peer.next(1);
       if (!request) continue;
       EXPECT_EQ(request->id, 0x44U);
-      side.answer(0, request->id, "parts=1", "a\tb\tc\n");
+      peer.answer(0, request->id, "parts=1", "a\tb\tc\n");
       return true;
     }
     return false;
@@ -157,18 +157,18 @@
 TEST_F(ClientCloseTest, NothingIsSentForAClientThatDisconnectedRightAfterItsRequest) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
-  RawClient closed_client(port), reset(port), regular_client(port);
+  RawClient closed_client(port), reset_client(port), regular_client(port);
 
-  for (RawClient* client : {&closed_client, &reset})
+  for (RawClient* client : {&closed_client, &reset_client})
     client->wire().write("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n");
   EXPECT_EQ(closed_client.outcome(), "done");
-  EXPECT_EQ(reset.outcome(), "done");
+  EXPECT_EQ(reset_client.outcome(), "done");
 
   server.run([&](PlatformServer&) {
     closed_client.send_request(2, 0x46);
     closed_client.wire().close();
-    reset.send_request(2, 0x47);
-    reset.wire().reset();
+    reset_client.send_request(2, 0x47);
+    reset_client.wire().reset();
     return 0;
   });
   regular_client.send_request(1, 0x48);
@@ -194,26 +194,26 @@
 
   // Each answer is a line of 64 KB; what exceeds the socket buffers stays in the manager.
   int id = 1;
-  std::vector<EnginePeer> sides;
+  std::vector<EnginePeer> peers;
   while (server.unread_bytes() < std::size_t{600} * 1024 && id < 200) {
     ++id;
     client.send_request(id, 0x51U + static_cast<unsigned>(id));
     std::optional<engine_frames::Frame> request;
-    EnginePeer* at = nullptr;
-    EXPECT_TRUE(comes_true([&] {
-      if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) sides.push_back(std::move(side));
-      for (EnginePeer& side : sides) {
-        request = side.next(1);
-        at = &side;
+    EnginePeer* answering_peer = nullptr;
+    EXPECT_TRUE(wait_until([&] {
+      if (EnginePeer peer(engine_listeners_[0], 1); peer.is_open()) peers.push_back(std::move(peer));
+      for (EnginePeer& peer : peers) {
+        request = peer.next(1);
+        answering_peer = &peer;
         if (request && request->code == 1) return true;
       }
       return false;
     }));
     ASSERT_TRUE(request);
-    at->answer(0, request->id, "parts=8", page);
+    answering_peer->answer(0, request->id, "parts=8", page);
     for (int number = 1; number < 8; ++number)
-      at->answer(9, request->id, "part_no=" + std::to_string(number), page);
-    EXPECT_TRUE(comes_true([&] { return server.counts().sessions == 1; }));
+      answering_peer->answer(9, request->id, "part_no=" + std::to_string(number), page);
+    EXPECT_TRUE(wait_until([&] { return server.counts().sessions == 1; }));
   }
   client.wire().write(cancel_line(0x51));
   const auto cancel = held_engine.next();
@@ -222,8 +222,8 @@
   EXPECT_EQ(cancel->id, 0x51U);
 }
 
-// An answer, a cancellation, an invalid message and the client's close in one turn of the event loop, in
-// every order: the server keeps running, releases all resources and serves the next client.
+// An answer, a cancellation, an invalid message and the client's close arrive in one turn of the event loop,
+// in every order: the server keeps running, releases all resources and serves the next client.
 TEST_F(ClientCloseTest, EventsOfOneTurnMayArriveInAnyOrder) {
   RunningServer server(config());
   const std::uint16_t port = server.port();
@@ -235,37 +235,37 @@
     client.send_request(1, ++trace);
     EnginePeer engine;
     std::optional<engine_frames::Frame> request;
-    ASSERT_TRUE(comes_true([&] {
-      if (EnginePeer side(engine_listeners_[0], 1); side.is_open()) idle_engines_.push_back(std::move(side));
-      for (EnginePeer& side : idle_engines_) {
-        while (auto next = side.next(1))
+    ASSERT_TRUE(wait_until([&] {
+      if (EnginePeer peer(engine_listeners_[0], 1); peer.is_open()) idle_engines_.push_back(std::move(peer));
+      for (EnginePeer& peer : idle_engines_) {
+        while (auto next = peer.next(1))
           if (next->code == 1 && next->id == trace) {
             request = std::move(next);
-            engine = std::move(side);
+            engine = std::move(peer);
             return true;
           }
       }
       return false;
     }));
-    std::erase_if(idle_engines_, [](const EnginePeer& side) { return !side.is_open(); });
+    std::erase_if(idle_engines_, [](const EnginePeer& peer) { return !peer.is_open(); });
     server.run([&](PlatformServer&) {
-      for (const int what : order) {
-        if (what == 0) engine.answer(0, trace, "parts=1", "a\tb\tc\n");
-        if (what == 1) client.wire().write(cancel_line(trace));
-        if (what == 2) client.wire().write("noise\n");
-        if (what == 3) client.wire().shut_down();
+      for (const int event : order) {
+        if (event == 0) engine.answer(0, trace, "parts=1", "a\tb\tc\n");
+        if (event == 1) client.wire().write(cancel_line(trace));
+        if (event == 2) client.wire().write("noise\n");
+        if (event == 3) client.wire().shut_down();
       }
       return 0;
     });
-    EXPECT_TRUE(comes_true([&] { return server.clients() == 0; }));
+    EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
     EXPECT_EQ(server.counts().sessions, 0U);
     EXPECT_EQ(server.counts().attempts_out, 0U);
     idle_engines_.push_back(std::move(engine));
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// Silent clients use up the descriptors while the command channel is down. Once it is back, the manager
-// connects to it and to engines without exceeding the limit of descriptors.
+// Idle clients use up the descriptors while the command channel is down. Once it is available again, the
+// manager connects to it and to engines without exceeding the descriptor limit.
 TEST_F(ClientCloseTest, IdleClientsDoNotExhaustDescriptorsForTheCommandChannelAndEngines) {
   PlatformConfig settings = config();
   settings.limits.descriptors = 128;
@@ -280,7 +280,7 @@
   silent_clients.reserve(client_count);
 
   for (int i = 0; i < client_count; ++i) silent_clients.emplace_back(server.port());
-  EXPECT_TRUE(comes_true([&] { return server.clients() >= 52; }));
+  EXPECT_TRUE(wait_until([&] { return server.clients() >= 52; }));
 
   std::ofstream(path) << config_text(discovery_listener_.port());
   server.reload();
@@ -288,7 +288,7 @@
   EXPECT_EQ(discovery_peer.requested_after, 1U);
 
   discovery_peer.send_event(2, {engine_record(9, engine_listeners_[0].port())});
-  EXPECT_TRUE(comes_true([&] { return server.last_event() == 2; }));
+  EXPECT_TRUE(wait_until([&] { return server.last_event() == 2; }));
 
   RawClient regular_client(server.port());
   regular_client.send_request(1, 0xa1);
--- a/tests/service/engine_list_test.cpp
+++ b/tests/service/engine_list_test.cpp
@@ -45,7 +45,7 @@
     EXPECT_EQ(client.execute("select 1 /*cost_ms='1',sim_id='b'*/"), "TDCZ");
     return last_engine_of("b") == "second";
   };
-  EXPECT_TRUE(comes_true(is_sent_to_second));
+  EXPECT_TRUE(wait_until(is_sent_to_second));
 }
 
 // Guards against queries that are sent to an engine's previous address, on a channel that was idle.
@@ -74,7 +74,7 @@
     std::string list;
     for (int i = 0; i < engines_in_a_list; ++i) list += engine_element(next_id++, unused_port, "ready");
     folder_.replace_engine_list(list + "</engines>");
-    ASSERT_TRUE(comes_true([&] { return manager.knows_engine(static_cast<EngineId>(next_id - 1)); }))
+    ASSERT_TRUE(wait_until([&] { return manager.knows_engine(static_cast<EngineId>(next_id - 1)); }))
         << list_index;
   }
 
--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -28,10 +28,10 @@
 using namespace paddlestand::test;
 
 /// A test engine on its own thread.
-class Engine : public Thread<test_engine::Server> {
+class Engine : public EventLoopThread<test_engine::Server> {
  public:
   explicit Engine(test_engine::TestEngineSettings settings = {})
-      : Thread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
+      : EventLoopThread([&](auto& io) { return std::make_unique<test_engine::Server>(io, settings); }) {}
   /// Executes a command of the engine's control port, such as one that injects a fault, and returns its
   /// reply.
   std::string command(const std::string& line) {
@@ -70,11 +70,11 @@
 
 /// A manager with these settings. `path`: the settings file that reloads read; paths in the settings are
 /// relative to its folder.
-class RunningManager : public Thread<PostgresServer> {
+class RunningManager : public EventLoopThread<PostgresServer> {
  public:
   explicit RunningManager(const std::string& settings, pg::Users users = trusted_users(),
                           const std::string& path = "test")
-      : Thread([&](auto& io) {
+      : EventLoopThread([&](auto& io) {
           auto read = config::parse_manager_config(settings, path);
           if (const auto* fault = std::get_if<config::Fault>(&read)) throw std::runtime_error(fault->text());
           return std::make_unique<PostgresServer>(io, std::get<config::ManagerConfig>(std::move(read)), path,
@@ -106,7 +106,7 @@
   }
   /// Waits until no query, attempt or buffered byte remains. Returns false if that takes too long.
   bool becomes_idle() {
-    return comes_true([&] {
+    return wait_until([&] {
       const core::Counts now = counts();
       return now.queries_open == 0 && now.attempts_out == 0 && now.bytes_buffered == 0;
     });
