--- a/apps/day.cpp
+++ b/apps/day.cpp
@@ -95,7 +95,7 @@
 
 int run_day(const DayOptions& options) {
   auto day = simulation::read_day(options.file);
-  if (const auto* fault = std::get_if<config::Fault>(&day)) return report_bad_input(fault->text());
+  if (const auto* error = std::get_if<config::ConfigError>(&day)) return report_bad_input(error->text());
   simulation::DayPlan plan = make_plan(std::move(std::get<simulation::Day>(day)), options);
   const auto folder = prepare_folder(options.folder);
   if (const int* code = std::get_if<int>(&folder)) return *code;
@@ -106,7 +106,7 @@
 /// Checks the logs of a day that was run before.
 int check_logs(const std::string& file, const std::string& folder, const std::string& report_file) {
   const auto day = simulation::read_day(file);
-  if (const auto* fault = std::get_if<config::Fault>(&day)) return report_bad_input(fault->text());
+  if (const auto* error = std::get_if<config::ConfigError>(&day)) return report_bad_input(error->text());
   if (!fs::is_directory(folder)) return report_bad_input(folder + ": not a folder");
   std::vector<std::string> problems;
   auto records = trace_checker::read_logs(folder, problems);
--- a/apps/paddlestand.cpp
+++ b/apps/paddlestand.cpp
@@ -95,7 +95,7 @@
   service::PendingSignals::install();
   wait_for_file(options.config_path);
   const auto read = config::read_manager_config(options.config_path);
-  if (const auto* fault = std::get_if<config::Fault>(&read)) return report_bad_input(fault->text());
+  if (const auto* error = std::get_if<config::ConfigError>(&read)) return report_bad_input(error->text());
   const auto& config = std::get<config::ManagerConfig>(read);
   const auto credentials = read_credentials(config, wait_for_file);
   if (const auto* error = std::get_if<service::CredentialsError>(&credentials))
@@ -118,12 +118,12 @@
 /// Reads the settings and the files that they name, and prints a summary or the first error.
 int check_config(const std::string& path) {
   const auto read = config::read_manager_config(path);
-  if (const auto* fault = std::get_if<config::Fault>(&read)) return report_bad_input(fault->text());
+  if (const auto* error = std::get_if<config::ConfigError>(&read)) return report_bad_input(error->text());
   const auto& config = std::get<config::ManagerConfig>(read);
   std::size_t engines = config.engines.size();
   if (!config.engines_file.empty()) {
     const auto list = config::read_engine_list(config.engines_file, config);
-    if (const auto* fault = std::get_if<config::Fault>(&list)) return report_bad_input(fault->text());
+    if (const auto* error = std::get_if<config::ConfigError>(&list)) return report_bad_input(error->text());
     engines = std::get<std::vector<config::ListedEngine>>(list).size();
   }
   const auto credentials = read_credentials(config, [](const std::string&) {});
--- a/fuzz/engine_list.cpp
+++ b/fuzz/engine_list.cpp
@@ -1,4 +1,4 @@
-/// Engine lists: any file is a list, or one fault with a text.
+/// Engine lists: any file is a valid list, or yields one error with a text.
 #include "config/manager_config.hpp"
 #include "target.hpp"
 
@@ -9,6 +9,6 @@
   config.kinds = {{"std", 0}};
   config.core.module.kinds = {{8, 16384}};
   const auto read = config::read_engine_list(fuzz::as_file(fuzz::text_of(data, size)), config);
-  fuzz::check_error_has_text<config::Fault>(read);
+  fuzz::check_error_has_text<config::ConfigError>(read);
   return 0;
 }
--- a/fuzz/scenario.cpp
+++ b/fuzz/scenario.cpp
@@ -1,15 +1,15 @@
-/// Day files: any file is a day, whose arrivals can be computed, or one fault.
+/// Day files: any file is a valid day, whose arrivals can be computed, or yields one error.
 #include "simulation/scenario/scenario.hpp"
 
 #include "target.hpp"
 
-constexpr double max_requests = 2e4;  // in one input: more take too long
+constexpr double max_requests = 2e4;  // of one day; computing more arrivals takes too long
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace paddlestand;
   const auto read = simulation::read_day(fuzz::as_file(fuzz::text_of(data, size)));
-  if (const auto* fault = std::get_if<config::Fault>(&read)) {
-    if (fault->text().empty()) fuzz::fail("a fault without a text");
+  if (const auto* error = std::get_if<config::ConfigError>(&read)) {
+    if (error->text().empty()) fuzz::fail("an error without a text");
     return 0;
   }
   const auto& day = std::get<simulation::Day>(read);
--- a/simulation/scenario/scenario.cpp
+++ b/simulation/scenario/scenario.cpp
@@ -116,14 +116,15 @@
 
 /// Reads the faults of a day whose classes have been read. Returns an error for the first fault with an
 /// unknown class or a time after the day's end.
-std::optional<config::Fault> read_faults(const config::Element& root, const std::string& path, Day& day) {
+std::optional<config::ConfigError> read_faults(const config::Element& root, const std::string& path,
+                                               Day& day) {
   for (const auto& element : root.children("trouble")) {
     const DayFault& fault = day.faults.emplace_back(read_fault(element));
     if (!fault.class_name.empty() && !has_class(day, fault.class_name)) {
-      return config::Fault{path, element.line(), "trouble: unknown class '" + fault.class_name + "'"};
+      return config::ConfigError{path, element.line(), "trouble: unknown class '" + fault.class_name + "'"};
     }
     if (fault.at >= day.length)
-      return config::Fault{path, element.line(), "trouble: begins after the end of the day"};
+      return config::ConfigError{path, element.line(), "trouble: begins after the end of the day"};
   }
   return std::nullopt;
 }
@@ -278,9 +279,9 @@
 
 }  // namespace
 
-std::variant<Day, config::Fault> read_day(const std::string& path) {
+std::variant<Day, config::ConfigError> read_day(const std::string& path) {
   auto document = config::Document::read(path, config::day_schema);
-  if (auto* fault = std::get_if<config::Fault>(&document)) return std::move(*fault);
+  if (auto* error = std::get_if<config::ConfigError>(&document)) return std::move(*error);
   const config::Element root = std::get<config::Document>(document).root();
   Day day;
   day.name = root.text("name");
@@ -295,9 +296,9 @@
     day.tenants.push_back({element.text("name"), element.number("quota-per-s"), element.number("share")});
   for (const auto& element : root.children("class")) day.classes.push_back(read_class(element));
   read_clients(*root.child("clients"), day);
-  if (auto fault = read_faults(root, path, day)) return *std::move(fault);
+  if (auto error = read_faults(root, path, day)) return *std::move(error);
   if (day.engines == 0 || day.engines > max_engines || day.managers == 0 || day.managers > max_managers)
-    return config::Fault{path, engines.line(), "expected 1 to 200 engines and 1 to 50 managers"};
+    return config::ConfigError{path, engines.line(), "expected 1 to 200 engines and 1 to 50 managers"};
   return day;
 }
 
--- a/simulation/scenario/scenario.hpp
+++ b/simulation/scenario/scenario.hpp
@@ -105,7 +105,7 @@
 };
 
 /// Reads and validates a day's file. Returns the first error if it is invalid.
-[[nodiscard]] std::variant<Day, config::Fault> read_day(const std::string& path);
+[[nodiscard]] std::variant<Day, config::ConfigError> read_day(const std::string& path);
 
 /// A request that a client will send.
 struct Arrival {
--- a/src/config/manager_config.hpp
+++ b/src/config/manager_config.hpp
@@ -1,5 +1,5 @@
-/// The settings of `paddlestand serve`, typed: the one place where the words of schema/manager.xsd are mapped
-/// to the terms of the code. See docs/operators/settings.md.
+/// The settings of `paddlestand serve`. This is the only place where the names in schema/manager.xsd are
+/// mapped to those of the code. See docs/operators/settings.md.
 #pragma once
 
 #include <cstdint>
@@ -23,13 +23,13 @@
   friend bool operator==(const EngineAddress&, const EngineAddress&) = default;
 };
 
-/// An engine of the list.
+/// An entry of an engine list.
 struct ListedEngine {
-  EngineEntry entry;  ///< `started` counts from 1970
-  EngineAddress at;
+  EngineEntry entry;  ///< `started` counts from the Unix epoch
+  EngineAddress endpoint;
 };
 
-/// How clients are accepted.
+/// How clients connect and authenticate.
 struct ListenConfig {
   std::string address;
   std::uint16_t port{};
@@ -41,7 +41,7 @@
   friend bool operator==(const ListenConfig&, const ListenConfig&) = default;
 };
 
-/// With what name the manager logs in at engines.
+/// The user and database with which the manager logs in to engines.
 struct EngineLogin {
   std::string user, database, password_file;
   friend bool operator==(const EngineLogin&, const EngineLogin&) = default;
@@ -59,17 +59,18 @@
   Duration engines_poll{};
   observe::LogConfig log;
   Duration shutdown_grace_period = std::chrono::seconds(5);
-  std::map<std::string, std::uint32_t> zones, kinds;  ///< index by name: needed to read an engine list
+  std::map<std::string, std::uint32_t> zones, kinds;  ///< index by name; used to read engine lists
 };
 
-/// Reads a settings file and checks it against the schema and itself; the first fault where there is one.
-std::variant<ManagerConfig, Fault> read_manager_config(const std::string& path);
-/// The same of a text; `name` stands for the file in faults.
-std::variant<ManagerConfig, Fault> parse_manager_config(std::string_view text, const std::string& name);
+/// Reads a settings file and validates it against the schema and the rules between settings. Returns the
+/// first error if it is invalid.
+std::variant<ManagerConfig, ConfigError> read_manager_config(const std::string& path);
+/// Does the same with a text; `name` takes the place of the file in errors.
+std::variant<ManagerConfig, ConfigError> parse_manager_config(std::string_view text, const std::string& name);
 
-/// Reads an engine list in a file of its own, by the zones and kinds of the settings that it belongs to.
-std::variant<std::vector<ListedEngine>, Fault> read_engine_list(const std::string& path,
-                                                                const ManagerConfig& config);
+/// Reads an engine list from a separate file. Its zones and kinds are those of `config`.
+std::variant<std::vector<ListedEngine>, ConfigError> read_engine_list(const std::string& path,
+                                                                      const ManagerConfig& config);
 
 /// A setting that can't be changed while the manager runs.
 struct FixedSetting {
@@ -79,8 +80,8 @@
     engine_login,
     zones,
     kinds,
-    classes,  ///< their number
-    one_class,  ///< of `class_name`
+    classes,  ///< the number of classes
+    one_class,  ///< the class `class_name`
     tenants,
     decisions,
     channel_or_buffer_limits,
@@ -90,12 +91,12 @@
   Part part{};
   std::string class_name;  ///< empty unless `part` is one_class
 
-  /// The setting's name for operators, in the words of the settings file.
+  /// The setting's name for operators, as in the settings file.
   [[nodiscard]] std::string text() const;
 };
 
-/// The first setting that differs and can't be changed while the manager runs; none where a reload may
-/// proceed.
-std::optional<FixedSetting> find_fixed_change(const ManagerConfig& current, const ManagerConfig& fresh);
+/// Returns the first setting that differs and can't be changed while the manager runs, or nothing if a reload
+/// may proceed.
+std::optional<FixedSetting> find_fixed_change(const ManagerConfig& current, const ManagerConfig& updated);
 
 }  // namespace paddlestand::config
--- a/src/config/read_file.hpp
+++ b/src/config/read_file.hpp
@@ -1,4 +1,4 @@
-/// Reads files whose calls may fail for a moment.
+/// Reads files and tells transient errors from permanent ones.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 namespace paddlestand::config {
 
 struct FileError {
-  int error_number{};  ///< an errno; EFBIG: larger than allowed
-  bool transient = false;  ///< the same call may succeed in a moment
+  int error_number{};  ///< an errno; EFBIG if the file is larger than allowed
+  bool transient = false;  ///< a retry may succeed
 };
 
-/// The whole file, of at most so many bytes. Interrupted and short reads go on.
+/// Reads a file of at most `max_bytes`. Interrupted calls are repeated, short reads are continued.
 std::variant<std::string, FileError> read_file(const std::string& path, std::size_t max_bytes);
 
 }  // namespace paddlestand::config
--- a/src/config/xml.hpp
+++ b/src/config/xml.hpp
@@ -1,5 +1,5 @@
-// XML files checked against a schema that is built in (libxml2): elements with their lines, attributes with
-// the schema's defaults filled in, and one clear error with file and line for anything that is not as wanted.
+/// Reads XML files and validates them against a built-in schema (libxml2). Elements have line numbers, and
+/// attributes the schema's defaults. Of an invalid file, the first error is returned with file and line.
 #pragma once
 
 #include <chrono>
@@ -15,16 +15,17 @@
 
 using Duration = std::chrono::nanoseconds;
 
-struct Fault {
+/// The first error in a file.
+struct ConfigError {
   std::string file;
-  int line = 0;  // zero: none is to be named
-  std::string what;
+  int line = 0;  ///< zero if the error has no line
+  std::string message;
   [[nodiscard]] std::string text() const {
-    return file + (line > 0 ? ":" + std::to_string(line) : "") + ": " + what;
+    return file + (line > 0 ? ":" + std::to_string(line) : "") + ": " + message;
   }
 };
 
-// Valid as long as the document that it came from.
+/// An element of a document. Valid as long as the document.
 class Element {
  public:
   explicit Element(void* node) : node_(node) {}
@@ -34,7 +35,7 @@
   [[nodiscard]] std::vector<Element> children(std::string_view name = {}) const;
   [[nodiscard]] std::optional<Element> child(std::string_view name) const;
 
-  // Types are the schema's affair: what it passed can be read.
+  // The schema has validated the types, so these functions report no errors.
   [[nodiscard]] bool has(const char* attribute) const;
   [[nodiscard]] std::string text(const char* attribute) const;
   [[nodiscard]] double number(const char* attribute) const;
@@ -49,12 +50,14 @@
   void* node_;
 };
 
+/// A valid XML document.
 class Document {
  public:
-  // Reads at most `max_file_bytes` of the file. Nothing outside of it is followed: no entities, no network.
-  static std::variant<Document, Fault> read(const std::string& path, std::string_view schema);
-  static std::variant<Document, Fault> parse(std::string_view text, const std::string& name,
-                                             std::string_view schema);
+  /// Reads a file of at most `max_file_bytes`. Loads nothing else: no external entities, no network
+  /// addresses.
+  static std::variant<Document, ConfigError> read(const std::string& path, std::string_view schema);
+  static std::variant<Document, ConfigError> parse(std::string_view text, const std::string& name,
+                                                   std::string_view schema);
 
   [[nodiscard]] Element root() const;
   [[nodiscard]] const std::string& file() const { return file_; }
@@ -69,10 +72,10 @@
 
 inline constexpr std::size_t max_file_bytes = std::size_t{16} * 1024 * 1024;
 
-// "250ms", "1.5s"
-Duration read_time(std::string_view text);
+/// Parses a time with a unit, such as "250ms" or "1.5s".
+Duration parse_duration(std::string_view text);
 
-// The built-in schemas.
+// The built-in schemas, as XML texts.
 extern const std::string_view manager_schema;
 extern const std::string_view day_schema;
 
--- a/src/service/engine_list_file.cpp
+++ b/src/service/engine_list_file.cpp
@@ -40,9 +40,9 @@
   is_missing_ = false;
 
   auto read = config::read_engine_list(config_.engines_file, config_);
-  if (const auto* fault = std::get_if<config::Fault>(&read)) {
+  if (const auto* error = std::get_if<config::ConfigError>(&read)) {
     if (!(*version == last_faulty_)) {
-      log_.warn(observe::LogEvent::engine_list, {{Field::reason, fault->text()}},
+      log_.warn(observe::LogEvent::engine_list, {{Field::reason, error->text()}},
                 "the current engine list stays in use; the file is read again at the next poll");
     }
     last_faulty_ = *version;
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -231,17 +231,17 @@
   std::set<EngineId> moved;
   for (const config::ListedEngine& engine : engines) {
     error_code error;
-    const auto address = asio::ip::make_address(engine.at.address, error);
+    const auto address = asio::ip::make_address(engine.endpoint.address, error);
     if (error) {
       log_.error(observe::LogEvent::engine_list,
-                 {{Field::engine_name, engine.at.name},
-                  {Field::address, engine.at.address},
+                 {{Field::engine_name, engine.endpoint.name},
+                  {Field::address, engine.endpoint.address},
                   {Field::reason, "not an IP address"}},
                  "engine ignored");
       continue;
     }
     const EngineId id = engine.entry.engine;
-    if (channels_.set_endpoint(id, {address, engine.at.port})) moved.insert(id);
+    if (channels_.set_endpoint(id, {address, engine.endpoint.port})) moved.insert(id);
     listed.insert(id);
     update.engines.push_back(engine.entry);
   }
@@ -274,8 +274,8 @@
 
 void PostgresServer::reload() {
   const auto read = config::read_manager_config(config_path_);
-  if (const auto* fault = std::get_if<config::Fault>(&read)) {
-    on_reload_fault(fault->text());
+  if (const auto* error = std::get_if<config::ConfigError>(&read)) {
+    on_reload_fault(error->text());
     return;
   }
   reload_retry_.on_success();
--- a/tests/bench_adapter/settings_parser_test.cpp
+++ b/tests/bench_adapter/settings_parser_test.cpp
@@ -1,4 +1,4 @@
-/// The settings text of the simulator and the platform.
+/// Parsing of the settings of the simulator and the platform.
 #include "config/settings_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -35,23 +35,23 @@
   };
   const std::vector<Case> cases{
       {"classes.count=1\nclasses.0.repeat=perhaps\n", Kind::unknown_choice,
-       "settings value not understood: classes.0.repeat=perhaps"},
+       "setting classes.0.repeat=perhaps: unknown value"},
       {"permissions.cancel=maybe\n", Kind::not_a_flag,
-       "settings value is neither true nor false: permissions.cancel=maybe"},
-      {"no equals\n", Kind::missing_equals_sign, "settings line without '=': no equals"},
-      {"rules.cold_ns=-5\n", Kind::out_of_range, "settings value out of range: rules.cold_ns"},
-      {"classes.count=99999999\n", Kind::count_too_large, "settings count too large: classes"},
-      {"balancers=nan\n", Kind::out_of_range, "settings value out of range: balancers"},
+       "setting permissions.cancel=maybe: expected true or false"},
+      {"no equals\n", Kind::missing_equals_sign, "settings line 'no equals': expected path=value"},
+      {"rules.cold_ns=-5\n", Kind::out_of_range, "setting rules.cold_ns: value out of range"},
+      {"classes.count=99999999\n", Kind::count_too_large, "setting classes: count too large"},
+      {"balancers=nan\n", Kind::out_of_range, "setting balancers: value out of range"},
       {"rules.tip_multiple=high\n", Kind::not_a_number,
-       "settings value is no number: rules.tip_multiple=high"}};
+       "setting rules.tip_multiple=high: expected a number"}};
 
-  for (const Case& one : cases) {
-    const auto parsed = config::parse_settings(one.settings);
+  for (const Case& test_case : cases) {
+    const auto parsed = config::parse_settings(test_case.settings);
 
     const auto* error = std::get_if<config::SettingsError>(&parsed);
-    ASSERT_NE(error, nullptr) << one.settings;
-    EXPECT_EQ(error->kind, one.kind) << one.settings;
-    EXPECT_EQ(error->text(), one.text);
+    ASSERT_NE(error, nullptr) << test_case.settings;
+    EXPECT_EQ(error->kind, test_case.kind) << test_case.settings;
+    EXPECT_EQ(error->text(), test_case.text);
   }
 }
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -10,7 +10,8 @@
 
 using namespace std::chrono_literals;
 
-std::string manager(const std::string& replaced = "", const std::string& with = "") {
+/// A valid settings file in which the first `original` is replaced.
+std::string manager(const std::string& original = "", const std::string& replacement = "") {
   std::string text = R"(<manager xmlns="urn:paddlestand:manager:1" name="m">
 <listen port="6432"/>
 <zones names="north south" own="north"/>
@@ -23,20 +24,20 @@
 <decisions budget-floor="5" budget-share="0.1" budget-window="5s"/>
 <engines><engine id="1" name="e1" address="127.0.0.1" port="7001" kind="std"/></engines>
 </manager>)";
-  if (const auto at = text.find(replaced); !replaced.empty() && at != text.npos)
-    text.replace(at, replaced.size(), with);
+  if (const auto position = text.find(original); !original.empty() && position != text.npos)
+    text.replace(position, original.size(), replacement);
   return text;
 }
 
-std::string fault_of(const std::string& text) {
+std::string error_of(const std::string& text) {
   const auto read = parse_manager_config(text, "m.xml");
-  const auto* fault = std::get_if<Fault>(&read);
-  return fault == nullptr ? std::string{} : fault->text();
+  const auto* error = std::get_if<ConfigError>(&read);
+  return error == nullptr ? std::string{} : error->text();
 }
 
-TEST(Config, IsReadWithDefaultsFilledIn) {
+TEST(Config, FillsInDefaults) {
   const auto read = parse_manager_config(manager(), "m.xml");
-  ASSERT_TRUE(std::holds_alternative<ManagerConfig>(read)) << std::get<Fault>(read).text();
+  ASSERT_TRUE(std::holds_alternative<ManagerConfig>(read)) << std::get<ConfigError>(read).text();
   const auto& config = std::get<ManagerConfig>(read);
   EXPECT_EQ(config.core.module.classes[1].idempotency_window, 25s);
   EXPECT_EQ(config.core.module.classes[1].allowed_zones->at(0), 1U);
@@ -44,10 +45,10 @@
   EXPECT_EQ(config.core.module.retry_budget->window, 5s);
   EXPECT_EQ(config.core.answer_buffer, 64U * 1024);
   EXPECT_EQ(config.listen.address, "127.0.0.1");
-  EXPECT_EQ(config.engines.at(0).at.port, 7001);
+  EXPECT_EQ(config.engines.at(0).endpoint.port, 7001);
 }
 
-TEST(Config, EachFaultIsReportedWithItsLineAndWhatWasWanted) {
+TEST(Config, ErrorsStateTheLineAndTheExpectedValue) {
   const std::vector<std::tuple<const char*, const char*, const char*, const char*>> cases{
       {"aim=\"1s\" deadline=\"5s\" repeat=\"safe\"", "aim=\"1\" deadline=\"5s\"", "m.xml:6:", "aim"},
       {"</manager>", "", "m.xml:", ""},
@@ -58,7 +59,7 @@
       {"zones=\"south\"", "zones=\"east\"", "m.xml:7:", "north, south"},
       {"class=\"load\"/>", "class=\"nope\"/>", "m.xml:9:", "lookup, load"},
       {"statement=\"^insert\"", "statement=\"(\"", "m.xml:9:", "regular expression"},
-      {"kind=\"std\"", "kind=\"big\"", "m.xml:11:", "wanted one of: std"},
+      {"kind=\"std\"", "kind=\"big\"", "m.xml:11:", "expected one of: std"},
       {"key-window=\"25s\"", "", "m.xml:7:", "key-window"},
       {"deadline=\"5s\" repeat=\"keyed\"", "deadline=\"1ms\" repeat=\"keyed\"",
        "m.xml:7:", "aim <= deadline"},
@@ -68,52 +69,52 @@
        "m.xml:11:", "one-id-each"},
       {"name=\"m\"", "name=\"m\" colour=\"red\"", "m.xml:1:", "colour"},
   };
-  for (const auto& [was, is, where, what] : cases) {
-    const std::string fault = fault_of(manager(was, is));
-    EXPECT_NE(fault.find(where), std::string::npos) << was << " -> " << is << ": " << fault;
-    EXPECT_NE(fault.find(what), std::string::npos) << was << " -> " << is << ": " << fault;
+  for (const auto& [original, replacement, location, message] : cases) {
+    const std::string error = error_of(manager(original, replacement));
+    EXPECT_NE(error.find(location), std::string::npos) << original << " -> " << replacement << ": " << error;
+    EXPECT_NE(error.find(message), std::string::npos) << original << " -> " << replacement << ": " << error;
   }
 }
 
-TEST(Config, EntitiesAndOtherFilesAreNotFollowed) {
+TEST(Config, ExternalEntitiesAreNotLoaded) {
   const std::string text =
       "<!DOCTYPE x [<!ENTITY e SYSTEM \"file:///etc/hostname\">]>" + manager("name=\"m\"", "name=\"&e;\"");
-  EXPECT_FALSE(fault_of(text).empty());
+  EXPECT_FALSE(error_of(text).empty());
 }
 
-TEST(Config, EnginesFileIsCheckedByTheSameSchema) {
+TEST(Config, EngineListIsValidatedByTheSameSchema) {
   const auto config = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
   const std::string path = ::testing::TempDir() + "engines-" + std::to_string(getpid()) + ".xml";
   const auto read = [&](const std::string& text) {
     std::ofstream(path) << text;
     return read_engine_list(path, config);
   };
-  const std::string one =
+  const std::string list =
       R"(<engines xmlns="urn:paddlestand:manager:1"><engine id="7" name="a" address="::1" port="1" kind="std" zone="south" state="draining" started="1700000000.5"/></engines>)";
-  const auto good = read(one);
-  ASSERT_TRUE(std::holds_alternative<std::vector<ListedEngine>>(good));
-  const auto& engine = std::get<std::vector<ListedEngine>>(good).at(0);
+  const auto valid = read(list);
+  ASSERT_TRUE(std::holds_alternative<std::vector<ListedEngine>>(valid));
+  const auto& engine = std::get<std::vector<ListedEngine>>(valid).at(0);
   EXPECT_EQ(engine.entry.state, EngineState::draining);
   EXPECT_EQ(engine.entry.zone, 1U);
   EXPECT_EQ(engine.entry.started, 1700000000500ms);
-  EXPECT_TRUE(std::holds_alternative<Fault>(read(one.substr(0, one.size() / 2))));
-  EXPECT_TRUE(std::holds_alternative<Fault>(read("")));
-  EXPECT_TRUE(std::holds_alternative<Fault>(read_engine_list("/nonexistent/x.xml", config)));
+  EXPECT_TRUE(std::holds_alternative<ConfigError>(read(list.substr(0, list.size() / 2))));
+  EXPECT_TRUE(std::holds_alternative<ConfigError>(read("")));
+  EXPECT_TRUE(std::holds_alternative<ConfigError>(read_engine_list("/nonexistent/x.xml", config)));
   unlink(path.c_str());
 }
 
-TEST(Config, WhatCannotBeReloadedIsNamed) {
-  const auto a = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
+TEST(Config, SettingsThatCannotBeReloadedAreNamed) {
+  const auto current = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
   const auto same = std::get<ManagerConfig>(parse_manager_config(manager("^insert", "^update"), "m.xml"));
-  EXPECT_FALSE(find_fixed_change(a, same).has_value());
+  EXPECT_FALSE(find_fixed_change(current, same).has_value());
   const auto port = std::get<ManagerConfig>(parse_manager_config(manager("6432", "6433"), "m.xml"));
-  const auto port_change = find_fixed_change(a, port);
+  const auto port_change = find_fixed_change(current, port);
   ASSERT_TRUE(port_change.has_value());
   EXPECT_EQ(port_change->part, FixedSetting::Part::listen);
   EXPECT_EQ(port_change->text(), "listen");
   const auto latency_objective =
       std::get<ManagerConfig>(parse_manager_config(manager("aim=\"1s\"", "aim=\"2s\""), "m.xml"));
-  const auto class_change = find_fixed_change(a, latency_objective);
+  const auto class_change = find_fixed_change(current, latency_objective);
   ASSERT_TRUE(class_change.has_value());
   EXPECT_EQ(class_change->part, FixedSetting::Part::one_class);
   EXPECT_EQ(class_change->text(), "class 'lookup'");
@@ -139,7 +140,7 @@
   EXPECT_EQ(classifier.error()->text().find("a rule names class 'nightly'; expected one of: lookup"), 0U);
 }
 
-TEST(Classifier, TagsFirstThenRulesThenTheDefault) {
+TEST(Classifier, PrefersTagsToRulesToTheDefault) {
   auto config = std::get<ManagerConfig>(parse_manager_config(manager(), "m.xml"));
   const core::Classifier classifier(config.classifier, config.core.module);
   ASSERT_FALSE(classifier.error().has_value());
--- a/tests/service/service_harness.hpp
+++ b/tests/service/service_harness.hpp
@@ -74,7 +74,8 @@
                           const std::string& path = "test")
       : Thread([&](auto& io) {
           auto read = config::parse_manager_config(settings, path);
-          if (const auto* fault = std::get_if<config::Fault>(&read)) throw std::runtime_error(fault->text());
+          if (const auto* error = std::get_if<config::ConfigError>(&read))
+            throw std::runtime_error(error->text());
           return std::make_unique<PostgresServer>(io, std::get<config::ManagerConfig>(std::move(read)), path,
                                                   users, "");
         }) {}
