--- a/src/observe/file_sink.cpp
+++ b/src/observe/file_sink.cpp
@@ -12,7 +12,7 @@
 FileSink::FileSink(std::string path, std::size_t max_bytes, std::size_t files)
     : path_(std::move(path)), max_bytes_(max_bytes), files_(files) {
   if (!open()) {
-    std::fprintf(stderr, "paddlestand: log file %s: can't be opened; lines are lost until it can\n",
+    std::fprintf(stderr, "paddlestand: log file %s: cannot be opened; log lines are lost until it can be\n",
                  path_.c_str());
   }
 }
--- a/src/observe/file_sink.hpp
+++ b/src/observe/file_sink.hpp
@@ -1,6 +1,6 @@
-/// A log file that survives a full or failing disk: what can't be written is lost, and the file is reopened
-/// with a backoff. A rotating sink that fails between closing one file and opening the next is not usable any
-/// more, and is made again.
+/// A log file that survives a full or failing disk: lines that can't be written are lost, and the file is
+/// reopened with a backoff. The rotating sink is created again after each failure, because one that failed
+/// between closing a file and opening the next can't be used further.
 #pragma once
 
 #include <spdlog/sinks/base_sink.h>
@@ -15,7 +15,7 @@
 
 class FileSink : public spdlog::sinks::base_sink<std::mutex> {
  public:
-  /// Never throws: the file may come later.
+  /// Does not throw if the file can't be opened: opening is retried at later lines.
   FileSink(std::string path, std::size_t max_bytes, std::size_t files);
 
  protected:
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -13,12 +13,12 @@
 namespace paddlestand::observe {
 namespace {
 
-constexpr std::size_t max_queued_lines = 8192;  // lines; about 2 MiB
+constexpr std::size_t max_queued_lines = 8192;  // about 2 MiB
 
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-6; }
 
-/// While it lives, threads that are started inherit a mask that blocks every signal: handlers run on the
-/// event loop's thread alone.
+/// Blocks all signals during its lifetime. Threads started then inherit the mask, so that signal handlers run
+/// only on the event loop's thread.
 class BlockSignals {
  public:
   BlockSignals() {
@@ -38,8 +38,8 @@
   return attempt.result ? name_of(*attempt.result) : "out";
 }
 
-// Names in an answer are of the settings and of this program: none needs quoting.
-void put_answer_json(fmt::memory_buffer& line, const core::Answer& answer, std::string_view class_name) {
+// Names in an answer come from the settings or from this program, so none needs escaping.
+void append_answer_json(fmt::memory_buffer& line, const core::Answer& answer, std::string_view class_name) {
   const auto out = std::back_inserter(line);
   fmt::format_to(out, R"("event":"answer","query":{},"session":{},"class":"{}","kind":"{}")", answer.query,
                  answer.session, class_name, name_of(answer.kind));
@@ -58,7 +58,7 @@
   fmt::format_to(out, "]");
 }
 
-void put_answer_text(fmt::memory_buffer& line, const core::Answer& answer, std::string_view class_name) {
+void append_answer_text(fmt::memory_buffer& line, const core::Answer& answer, std::string_view class_name) {
   const auto out = std::back_inserter(line);
   fmt::format_to(out, "answer: query {} class {} {}{} in {:.3f} ms;", answer.query, class_name,
                  name_of(answer.kind), answer.deadline_exceeded ? " (time up)" : "",
@@ -69,7 +69,7 @@
   }
 }
 
-void put_event_json(fmt::memory_buffer& line, LogEvent event, Log::Fields fields, std::string_view text) {
+void append_event_json(fmt::memory_buffer& line, LogEvent event, Log::Fields fields, std::string_view text) {
   const auto out = std::back_inserter(line);
   fmt::format_to(out, R"("event":"{}")", name_of(event));
   for (const LogField& field : fields) {
@@ -81,7 +81,7 @@
   append_json_text(line, text);
 }
 
-void put_event_text(fmt::memory_buffer& line, LogEvent event, Log::Fields fields, std::string_view text) {
+void append_event_text(fmt::memory_buffer& line, LogEvent event, Log::Fields fields, std::string_view text) {
   const auto out = std::back_inserter(line);
   fmt::format_to(out, "{}:", name_of(event));
   for (const LogField& field : fields) {
@@ -118,9 +118,10 @@
   }
   logger_ = std::make_shared<spdlog::async_logger>(manager_, sink, pool_,
                                                    spdlog::async_overflow_policy::overrun_oldest);
-  logger_->set_error_handler([](const std::string&) {});  // a full disk: nothing to say it to
+  // If the disk is full, there is nowhere to report it.
+  logger_->set_error_handler([](const std::string&) {});
   logger_->flush_on(spdlog::level::warn);
-  // Times are told in UTC, so that logs of several managers can be laid side by side.
+  // Times are in UTC, so that logs of several managers can be compared.
   logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(
       json_ ? R"({"time":"%Y-%m-%dT%H:%M:%S.%fZ","manager":"%n","level":"%l",%v})" : "%H:%M:%S.%e %n %l %v",
       spdlog::pattern_time_type::utc));
@@ -129,7 +130,7 @@
 
 Log::~Log() {
   logger_.reset();
-  pool_.reset();  // waits until what is queued was written
+  pool_.reset();  // waits until the queued lines are written
 }
 
 bool Log::close_within(std::chrono::milliseconds limit) {
@@ -160,9 +161,9 @@
   if (!logger_->should_log(level)) return;
   fmt::memory_buffer line;
   if (json_) {
-    put_event_json(line, event, fields, text);
+    append_event_json(line, event, fields, text);
   } else {
-    put_event_text(line, event, fields, text);
+    append_event_text(line, event, fields, text);
   }
   logger_->log(level, std::string_view(line.data(), line.size()));
 }
@@ -171,9 +172,9 @@
   if (!answers_ || !logger_->should_log(spdlog::level::info)) return;
   fmt::memory_buffer line;
   if (json_) {
-    put_answer_json(line, answer, class_name);
+    append_answer_json(line, answer, class_name);
   } else {
-    put_answer_text(line, answer, class_name);
+    append_answer_text(line, answer, class_name);
   }
   logger_->log(spdlog::level::info, std::string_view(line.data(), line.size()));
 }
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -1,6 +1,6 @@
-/// Structured logs over spdlog: one JSON object a line, or the same for a console. Lines wait in a bounded
-/// queue for a writer thread: where the disk is slow or full the oldest that wait are lost, and the event
-/// loop is never blocked.
+/// Structured logs over spdlog: one JSON object per line, or the same content for a console. A writer thread
+/// takes lines from a bounded queue. If the disk is slow or full, the oldest queued lines are lost; the event
+/// loop never blocks.
 #pragma once
 
 #include <spdlog/async.h>
@@ -19,7 +19,7 @@
 
 namespace paddlestand::observe {
 
-/// The log of one manager. Owned by its host; may be used from the host's thread only.
+/// The log of one manager. Owned by its host, and used only from the host's thread.
 class Log {
  public:
   using Fields = std::initializer_list<LogField>;
@@ -29,10 +29,11 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  /// debug, info, warning or error; anything else is info.
+  /// Takes debug, info, warning or error; any other text means info.
   void set_level(std::string_view level);
 
-  /// `event` says what happened, `fields` to what; `text` is for people, and says what no field does.
+  /// `event` says what happened, and `fields` name the objects concerned. `text` is for people, and states
+  /// only what no field does.
   void debug(LogEvent event, Fields fields, std::string_view text = {}) {
     write(spdlog::level::debug, event, fields, text);
   }
@@ -52,14 +53,15 @@
   void warn(LogEvent event, std::string_view text = {}) { warn(event, Fields{}, text); }
   void error(LogEvent event, std::string_view text = {}) { error(event, Fields{}, text); }
 
-  /// A query's final answer and what became of its attempts, where the settings ask for them.
+  /// Writes a query's final answer and the outcomes of its attempts, if the settings enable it.
   void answer(const core::Answer& answer, std::string_view class_name);
 
-  /// Writes what is queued and ends the log. False where that takes longer than the limit, as with a reader
-  /// that is stuck: the writer thread is abandoned then, and only _Exit() ends the process in time.
+  /// Writes the queued lines and closes the log. Returns false if that takes longer than `limit`, for example
+  /// because the reader of a pipe is stuck. The writer thread is then abandoned, and the process has to end
+  /// with _Exit(), which does not wait for it.
   bool close_within(std::chrono::milliseconds limit);
 
-  /// Lines that were lost because the queue was full.
+  /// The number of lines lost because the queue was full.
   [[nodiscard]] std::size_t lost() const;
 
  private:
@@ -71,7 +73,7 @@
   std::shared_ptr<spdlog::logger> logger_;
 };
 
-/// Names as they stand in the log.
+/// Names as written in the log.
 std::string_view name_of(core::AnswerKind kind);
 std::string_view name_of(AttemptResult result);
 
--- a/src/observe/log_config.hpp
+++ b/src/observe/log_config.hpp
@@ -1,4 +1,4 @@
-/// How a manager logs: the settings' `log` element.
+/// A manager's log settings: the `log` element of the settings file.
 #pragma once
 
 #include <cstddef>
@@ -9,10 +9,10 @@
 
 struct LogConfig {
   std::string level = "info";  ///< debug, info, warning or error
-  std::string file = "-";  ///< a path; "-" is standard error
+  std::string file = "-";  ///< path, or "-" for standard error
   std::string format = "json";  ///< json or console
-  std::size_t max_bytes = 64U << 20U;  ///< of a file before it is rotated
-  std::uint32_t files = 4;  ///< kept after rotation
+  std::size_t max_bytes = 64U << 20U;  ///< size at which a file is rotated
+  std::uint32_t files = 4;  ///< number of rotated files kept
   bool answers = true;  ///< whether each final answer is logged
 };
 
--- a/src/observe/log_fields.cpp
+++ b/src/observe/log_fields.cpp
@@ -59,7 +59,7 @@
 
 enum class Format : std::uint8_t { json, console };
 
-// Writes a value of each type.
+/// Appends a value of any type of LogValue.
 class ValueWriter {
  public:
   ValueWriter(fmt::memory_buffer& line, Format format) : line_(line), format_(format) {}
--- a/tests/observe/log_test.cpp
+++ b/tests/observe/log_test.cpp
@@ -1,4 +1,4 @@
-// What a log line looks like: typed fields in JSON and on a console.
+// The format of log lines: typed fields in JSON and on a console.
 #include "observe/log.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   return fmt::to_string(line);
 }
 
-// A log in a file of its own, which is removed at the end.
+// A log in a temporary file, which the destructor removes.
 class LogFile {
  public:
   explicit LogFile(const std::string& format, const std::string& level = "info")
@@ -47,13 +47,13 @@
 
   Log& log() { return *log_; }
 
-  /// Ends the log and returns what was written.
+  /// Closes the log and returns the lines written.
   std::vector<std::string> lines() {
     log_.reset();
     std::ifstream in(path_);
-    std::vector<std::string> all;
-    for (std::string line; std::getline(in, line);) all.push_back(line);
-    return all;
+    std::vector<std::string> lines;
+    for (std::string line; std::getline(in, line);) lines.push_back(line);
+    return lines;
   }
 
  private:
@@ -61,7 +61,7 @@
   std::optional<Log> log_;
 };
 
-TEST(LogField, EachTypeHasItsFormInJson) {
+TEST(LogField, FormatsEachTypeInJson) {
   EXPECT_EQ(json_of({LogFieldName::query, std::numeric_limits<std::uint64_t>::max()}),
             R"("query":18446744073709551615)");
   EXPECT_EQ(json_of({LogFieldName::code, -7}), R"("code":-7)");
@@ -72,7 +72,7 @@
   EXPECT_EQ(json_of({LogFieldName::trace, HexId{0xab12}}), R"("trace":"000000000000ab12")");
 }
 
-TEST(LogField, EachTypeHasItsFormOnAConsole) {
+TEST(LogField, FormatsEachTypeOnAConsole) {
   EXPECT_EQ(console_of({LogFieldName::query, std::uint64_t{265}}), "query=265");
   EXPECT_EQ(console_of({LogFieldName::code, -7}), "code=-7");
   EXPECT_EQ(console_of({LogFieldName::memory_mb, 1.5}), "memory_mb=1.5");
@@ -83,12 +83,12 @@
   EXPECT_EQ(console_of({LogFieldName::trace, HexId{0xab12}}), "trace=000000000000ab12");
 }
 
-TEST(LogField, ASmallIntegerIsANumberAndNoCharacter) {
+TEST(LogField, SmallIntegersAreWrittenAsNumbers) {
   EXPECT_EQ(json_of({LogFieldName::priority, std::uint8_t{65}}), R"("priority":65)");
   EXPECT_EQ(json_of({LogFieldName::code, std::int8_t{65}}), R"("code":65)");
 }
 
-TEST(LogField, ANumberWithoutJsonFormIsNull) {
+TEST(LogField, NonFiniteNumbersAreNullInJson) {
   EXPECT_EQ(json_of({LogFieldName::memory_mb, std::numeric_limits<double>::infinity()}),
             R"("memory_mb":null)");
   EXPECT_EQ(json_of({LogFieldName::memory_mb, std::numeric_limits<double>::quiet_NaN()}),
@@ -102,25 +102,25 @@
   EXPECT_EQ(console_of(field), R"(reason="a \"b\"\\\n{}")");
 }
 
-TEST(LogField, BytesThatAreNoUtf8AreReplaced) {
+TEST(LogField, InvalidUtf8IsReplaced) {
   const LogField field(LogFieldName::reason, "a\xff");
 
   EXPECT_EQ(json_of(field), "\"reason\":\"a\xef\xbf\xbd\"");
   EXPECT_EQ(console_of(field), "reason=\"a\xef\xbf\xbd\"");
 }
 
-TEST(LogField, EveryNameIsDistinct) {
+TEST(LogField, NamesAreDistinct) {
   std::set<std::string_view> names;
   constexpr auto count = static_cast<std::size_t>(LogFieldName::violations) + 1;
   for (std::size_t name = 0; name < count; ++name) names.insert(name_of(static_cast<LogFieldName>(name)));
 
   EXPECT_EQ(names.size(), count);
-  // Every line has these besides, and a name may stand in it once only.
-  for (const char* own : {"time", "manager", "level", "event", "text"})
-    EXPECT_EQ(names.count(own), 0U) << own;
+  // Every line has these members, so no field may have their names.
+  for (const char* member : {"time", "manager", "level", "event", "text"})
+    EXPECT_EQ(names.count(member), 0U) << member;
 }
 
-TEST(Log, AJsonLineHasTheEventThenTheFieldsThenTheText) {
+TEST(Log, JsonLineHasEventThenFieldsThenText) {
   LogFile file("json");
   file.log().info(LogEvent::attempt_sent, {{LogFieldName::query, 265U}, {LogFieldName::engine, 1U}},
                   "say \"{}\"\xff");
@@ -136,7 +136,7 @@
   EXPECT_EQ(json.at("query"), 265);
 }
 
-TEST(Log, AnEmptyTextIsLeftOut) {
+TEST(Log, EmptyTextIsOmitted) {
   LogFile file("json");
   file.log().warn(LogEvent::client_stalled, {{LogFieldName::session, 4U}});
   file.log().warn(LogEvent::cancel_unmatched);
@@ -147,7 +147,7 @@
   EXPECT_TRUE(lines[1].ends_with(R"("event":"cancel_unmatched"})")) << lines[1];
 }
 
-TEST(Log, AConsoleLineHasTheEventThenTheFieldsThenTheText) {
+TEST(Log, ConsoleLineHasEventThenFieldsThenText) {
   LogFile file("console");
   file.log().error(LogEvent::violation, {{LogFieldName::query, 265U}, {LogFieldName::engine, 1U}}, "late {}");
   file.log().info(LogEvent::shutdown_complete, "all answered");
