--- a/bench_adapter/main.cpp
+++ b/bench_adapter/main.cpp
@@ -19,20 +19,21 @@
 /// Reads up to `count` bytes; fewer only at the end of the input.
 std::size_t read_input(std::uint8_t* out, std::size_t count) { return std::fread(out, 1, count, stdin); }
 
-/// Reads the next frame. False at the end of the input. Throws MalformedFrame where the input ends inside the
-/// frame.
+/// Reads the next frame. Returns false at the end of the input. Throws MalformedFrame if the input ends
+/// inside the frame.
 bool read_frame(std::vector<std::uint8_t>& frame) {
   frame.resize(frame_length_bytes);
   const std::size_t received = read_input(frame.data(), frame_length_bytes);
   if (received == 0 && std::ferror(stdin) == 0) return false;
   if (received < frame_length_bytes) throw MalformedFrame("input ends inside a frame's length");
   const std::size_t length = frame_length(frame);
-  // Grows as the bytes come, so that a damaged length takes no memory.
+  // Grows as bytes arrive, so that a damaged length allocates no memory.
   while (frame.size() < length) {
     const std::size_t position = frame.size();
-    const std::size_t step = std::min(length - position, max_read_bytes);
-    frame.resize(position + step);
-    if (read_input(frame.data() + position, step) < step) throw MalformedFrame("input ends inside a frame");
+    const std::size_t part_bytes = std::min(length - position, max_read_bytes);
+    frame.resize(position + part_bytes);
+    if (read_input(frame.data() + position, part_bytes) < part_bytes)
+      throw MalformedFrame("input ends inside a frame");
   }
   return true;
 }
--- a/bench_adapter/wire_actions.cpp
+++ b/bench_adapter/wire_actions.cpp
@@ -12,12 +12,12 @@
 
 using config::gossip_entry_bytes;
 
-/// An engine's mark is the lower half of its id.
+/// Appends an entry with the engine's short id, which is the lower half of its id.
 void append_gossip_entry(std::string& bytes, const GossipEntry& entry) {
   const auto threads =
       static_cast<std::uint32_t>(std::clamp(entry.threads, 0.0, static_cast<double>(gossip_max_threads)));
   const double memory_units = entry.memory_share * gossip_memory_units;
-  const auto memory =  // NOLINTNEXTLINE(bugprone-incorrect-roundings): it is not negative
+  const auto memory =  // NOLINTNEXTLINE(bugprone-incorrect-roundings): the value is not negative
       static_cast<std::uint32_t>(std::clamp(memory_units, 0.0, static_cast<double>(gossip_max_memory)) + 0.5);
   bytes.push_back(static_cast<char>(entry.engine & 255U));
   bytes.push_back(static_cast<char>(entry.engine >> 8U & 255U));
--- a/bench_adapter/wire_actions.hpp
+++ b/bench_adapter/wire_actions.hpp
@@ -1,4 +1,4 @@
-/// Actions of a workload manager as records of a reply frame.
+/// Writes the actions of workload managers as records of a reply frame.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace paddlestand::bench_adapter {
 
-/// Appends the record of an action of `instance`.
+/// Appends the record of an action that `instance` takes.
 void write_action(WireWriter& out, std::uint16_t instance, const Action& action);
 
 }  // namespace paddlestand::bench_adapter
--- a/bench_adapter/wire_codes.hpp
+++ b/bench_adapter/wire_codes.hpp
@@ -1,4 +1,4 @@
-/// The numbers of the simulator's wire and what they stand for here. The wire's own words end at this file.
+/// The codes, bits and limits of the simulator's wire. The simulator's own names are used in this file only.
 #pragma once
 
 #include <cstddef>
@@ -39,7 +39,7 @@
   set_timer = 13,  ///< notify_me
 };
 
-/// How an attempt ended. Not all of HTTP's meanings.
+/// How an attempt ended. Some codes differ in meaning from HTTP's.
 enum class CompletionCode : std::uint16_t {
   served = 200,
   timed_out = 408,
@@ -55,9 +55,9 @@
 inline constexpr std::uint8_t has_estimated_cost = 1;
 inline constexpr std::uint8_t is_repeated = 2;
 
-inline constexpr std::uint8_t last_engine_state = 2;  ///< EngineState, numbered as on the wire
-inline constexpr std::uint8_t last_endpoint_update = 3;  ///< EndpointUpdate, numbered as on the wire
-inline constexpr std::uint8_t first_progress_kind = 1;  ///< one more than ProgressKind
+inline constexpr std::uint8_t last_engine_state = 2;  ///< EngineState has the same numbers as the wire
+inline constexpr std::uint8_t last_endpoint_update = 3;  ///< EndpointUpdate has the same numbers as the wire
+inline constexpr std::uint8_t first_progress_kind = 1;  ///< the wire has ProgressKind plus one
 inline constexpr std::uint8_t last_progress_kind = 3;
 
 inline constexpr std::size_t max_text_bytes = 65535;
@@ -65,12 +65,13 @@
 inline constexpr std::size_t list_entry_bytes = 22;
 inline constexpr std::uint32_t all_peers = 0xffffffff;
 
-/// The cost of a served attempt in one number: milliseconds of work, then units of memory.
+/// The cost of a served attempt is one number: milliseconds of work times cost_memory_units, plus units of
+/// memory.
 inline constexpr std::uint32_t cost_memory_units = 4096;
 inline constexpr double cost_memory_unit_mb = 4;
 
-/// A gossip entry's last byte: threads in the upper three bits, memory in the lower five, in 1/64 of the
-/// engine's.
+/// A gossip entry's last byte has threads in the upper three bits, and memory in the lower five, in units of
+/// 1/64 of the engine's memory.
 inline constexpr std::uint32_t gossip_max_threads = 7;
 inline constexpr std::uint32_t gossip_max_memory = 31;
 inline constexpr unsigned gossip_memory_bits = 5;
--- a/bench_adapter/wire_events.cpp
+++ b/bench_adapter/wire_events.cpp
@@ -37,7 +37,7 @@
 EngineEntry read_entry(WireReader& in) {
   EngineEntry entry;
   entry.kind = in.read<std::uint16_t>();
-  entry.state = static_cast<EngineState>(in.read_code(0, last_engine_state, "engine condition"));
+  entry.state = static_cast<EngineState>(in.read_code(0, last_engine_state, "engine state"));
   entry.zone = in.read<std::uint8_t>();
   entry.weight = in.read_float();
   entry.cell = in.read<std::uint16_t>();
@@ -102,7 +102,7 @@
   event.request = in.read<std::uint64_t>();
   event.attempt = in.read<std::uint16_t>();
   in.skip<std::uint32_t>();  // engine
-  const auto kind = in.read_code(first_progress_kind, last_progress_kind, "note");
+  const auto kind = in.read_code(first_progress_kind, last_progress_kind, "kind of progress");
   event.kind = static_cast<ProgressKind>(kind - first_progress_kind);
   event.level = in.read_float();
   return event;
--- a/bench_adapter/wire_events.hpp
+++ b/bench_adapter/wire_events.hpp
@@ -1,5 +1,5 @@
-/// The records of a batch frame that concern one instance, read as events of its workload manager. Each
-/// function reads the record after its code and instance, and throws MalformedFrame where it is not legal.
+/// Reads the records of a batch frame that are events of one instance. Each function reads a record after its
+/// code and instance, and throws MalformedFrame if the record is invalid.
 #pragma once
 
 #include <string>
@@ -10,12 +10,12 @@
 
 namespace paddlestand::bench_adapter {
 
-/// An entry of an endpoint list.
+/// Reads an entry of an endpoint list.
 EngineEntry read_entry(WireReader& in);
 RequestArrived read_request(WireReader& in);
 AnswerStarted read_answer_start(WireReader& in);
-/// `report_names`: of the values of a load report, in order. `answers_report_cost`: whether the cost that the
-/// record states is to be used.
+/// `report_names` names the values of a load report, in order. The record's cost is ignored unless
+/// `answers_report_cost` is set.
 AttemptEnded read_attempt_end(WireReader& in, const std::vector<std::string>& report_names,
                               bool answers_report_cost);
 ProbeEnded read_probe_end(WireReader& in, const std::vector<std::string>& report_names);
--- a/bench_adapter/wire_host.cpp
+++ b/bench_adapter/wire_host.cpp
@@ -17,13 +17,14 @@
 std::size_t frame_length(std::span<const std::uint8_t> prefix) {
   const auto length = WireReader(prefix).read<std::uint32_t>();
   if (length < batch_header_bytes || length > max_frame_bytes)
-    throw MalformedFrame("impossible frame length " + std::to_string(length));
+    throw MalformedFrame("invalid frame length " + std::to_string(length));
   return length;
 }
 
 std::vector<std::uint8_t> WireHost::reply_to(std::span<const std::uint8_t> batch) {
   WireReader in(batch);
-  if (in.read<std::uint32_t>() != batch.size()) throw MalformedFrame("frame length does not match");
+  if (in.read<std::uint32_t>() != batch.size())
+    throw MalformedFrame("the stated frame length differs from the actual length");
   const auto records = in.read<std::uint32_t>();
   const TimePoint now = in.read_time();
   const auto number = in.read<std::uint32_t>();
@@ -39,7 +40,7 @@
 void WireHost::process_record(WireReader& in, TimePoint now, WireWriter& out) {
   const auto code = static_cast<EventCode>(in.read_code(first_event_code, last_event_code, "event code"));
   if (code == EventCode::endpoint_list) {
-    read_list(in);
+    read_endpoint_list(in);
     return;
   }
   const auto id = in.read<std::uint16_t>();
@@ -74,14 +75,14 @@
       EndpointsChanged event = read_endpoints(in);
       Instance& instance = find_instance(id);
       for (const EngineEntry& entry : event.engines)
-        instance.engines_by_mark[static_cast<std::uint16_t>(entry.engine)] = entry.engine;
+        instance.engines_by_short_id[static_cast<std::uint16_t>(entry.engine)] = entry.engine;
       return event;
     }
     case EventCode::probe_ended: return read_probe_end(in, find_instance(id).report_names);
     case EventCode::request_abandoned: return RequestAbandoned{in.read<std::uint64_t>()};
     case EventCode::endpoint_list:
     case EventCode::create_instance:
-    case EventCode::destroy_instance: break;  // no events: see process_record()
+    case EventCode::destroy_instance: break;  // not events; handled by process_record()
   }
   throw MalformedFrame("unknown event code " + std::to_string(static_cast<unsigned>(code)));
 }
@@ -90,20 +91,20 @@
   const auto number = in.read<std::uint32_t>();
   in.skip<std::uint64_t>();  // time
   EndpointsChanged event;
-  event.scope = static_cast<EndpointUpdate>(in.read_code(0, last_endpoint_update, "scope of a list"));
-  if (event.scope != EndpointUpdate::failed) event.engines = list(number);
+  event.scope = static_cast<EndpointUpdate>(in.read_code(0, last_endpoint_update, "kind of endpoint update"));
+  if (event.scope != EndpointUpdate::failed) event.engines = endpoint_list(number);
   return event;
 }
 
-// Skips bytes that are no complete entry, and entries about unknown engines: peers may run another build.
+// Skips an incomplete last entry and entries for unknown engines, because peers may run another build.
 GossipReceived WireHost::read_gossip(WireReader& in, const Instance& instance) {
   const auto author = in.read<std::uint16_t>();
   const auto bytes = in.read_bytes(in.read<std::uint16_t>());
   gossip_.clear();
   for (std::size_t i = 0; i + gossip_entry_bytes <= bytes.size(); i += gossip_entry_bytes) {
-    const auto mark = static_cast<std::uint16_t>(bytes[i] | bytes[i + 1] << 8U);
-    const auto engine = instance.engines_by_mark.find(mark);
-    if (engine == instance.engines_by_mark.end()) continue;
+    const auto short_id = static_cast<std::uint16_t>(bytes[i] | bytes[i + 1] << 8U);
+    const auto engine = instance.engines_by_short_id.find(short_id);
+    if (engine == instance.engines_by_short_id.end()) continue;
     const auto load = bytes[i + 2];
     gossip_.push_back({engine->second, static_cast<double>(load >> gossip_memory_bits),
                        static_cast<double>(load & gossip_max_memory) / gossip_memory_units});
@@ -111,12 +112,12 @@
   return {author, gossip_};
 }
 
-void WireHost::read_list(WireReader& in) {
+void WireHost::read_endpoint_list(WireReader& in) {
   const auto number = in.read<std::uint32_t>();
   const auto rows = in.read<std::uint32_t>();
-  list(number);  // throws where there is none of that number
-  if (rows > in.remaining_bytes() / list_entry_bytes) throw MalformedFrame("list longer than its frame");
-  auto& entries = lists_[number];
+  endpoint_list(number);  // throws if the number is out of range
+  if (rows > in.remaining_bytes() / list_entry_bytes) throw MalformedFrame("endpoint list exceeds its frame");
+  auto& entries = endpoint_lists_[number];
   entries.clear();
   for (std::uint32_t row = 0; row < rows; ++row) entries.push_back(read_entry(in));
 }
@@ -130,11 +131,11 @@
     out.write_text(error->text());
     parsed = ParsedSettings{};
   }
-  auto& settings = std::get<ParsedSettings>(parsed);
-  settings.settings.seed = seed;
-  const bool answers_report_cost = settings.settings.answers_report_cost;
-  instances_.insert_or_assign(id, Instance{WorkloadManager(std::move(settings.settings)),
-                                           std::move(settings.report_names),
+  auto& valid = std::get<ParsedSettings>(parsed);
+  valid.settings.seed = seed;
+  const bool answers_report_cost = valid.settings.answers_report_cost;
+  instances_.insert_or_assign(id, Instance{WorkloadManager(std::move(valid.settings)),
+                                           std::move(valid.report_names),
                                            answers_report_cost,
                                            {}});
 }
@@ -145,9 +146,10 @@
   return found->second;
 }
 
-const std::vector<EngineEntry>& WireHost::list(std::uint32_t number) const {
-  if (number >= lists_.size()) throw MalformedFrame("list number out of range: " + std::to_string(number));
-  return lists_[number];
+const std::vector<EngineEntry>& WireHost::endpoint_list(std::uint32_t number) const {
+  if (number >= endpoint_lists_.size())
+    throw MalformedFrame("endpoint list number out of range: " + std::to_string(number));
+  return endpoint_lists_[number];
 }
 
 }  // namespace paddlestand::bench_adapter
--- a/bench_adapter/wire_io.hpp
+++ b/bench_adapter/wire_io.hpp
@@ -1,4 +1,4 @@
-/// Reads and writes the simulator's frames: little-endian numbers without alignment.
+/// Reads and writes the simulator's frames, which consist of little-endian numbers without alignment.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
 
-/// Reads from a frame, which must outlive it. Throws MalformedFrame at the frame's end.
+/// Reads values from a frame, which must outlive the reader. Throws MalformedFrame if the frame is too short.
 class WireReader {
  public:
   explicit WireReader(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
@@ -33,17 +33,17 @@
     return value;
   }
 
-  /// Skips a value that has no use here.
+  /// Skips a value that the adapter does not use.
   template <typename T>
   void skip() {
     read_bytes(sizeof(T));
   }
 
-  /// Reads a byte from `first` to `last`. `what` names it in the error.
-  std::uint8_t read_code(std::uint8_t first, std::uint8_t last, std::string_view what) {
+  /// Reads a byte in the range `first` to `last`. `subject` names the value in the error.
+  std::uint8_t read_code(std::uint8_t first, std::uint8_t last, std::string_view subject) {
     const auto code = read<std::uint8_t>();
     if (code < first || code > last)
-      throw MalformedFrame("unknown " + std::string(what) + " " + std::to_string(code));
+      throw MalformedFrame("unknown " + std::string(subject) + " " + std::to_string(code));
     return code;
   }
 
@@ -54,7 +54,7 @@
     return part;
   }
 
-  /// Nanoseconds, limited to what a Duration holds.
+  /// Reads a time in nanoseconds, limited to the range of Duration.
   Duration read_time() {
     constexpr auto max_time = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
     return Duration{static_cast<std::int64_t>(std::min(read<std::uint64_t>(), max_time))};
@@ -80,7 +80,7 @@
     std::memcpy(bytes_.data() + position, &value, sizeof(T));
   }
 
-  /// Nanoseconds.
+  /// Writes a time in nanoseconds.
   void write_time(Duration time) { write(static_cast<std::int64_t>(time.count())); }
 
   void begin_record(ActionCode code, std::uint16_t instance) {
@@ -94,7 +94,7 @@
     bytes_.insert(bytes_.end(), text.begin(), text.end());
   }
 
-  /// Sets the length in the frame's first four bytes, which must have been written.
+  /// Writes the length into the frame's first four bytes, which must exist, and returns the frame.
   std::vector<std::uint8_t> finish() {
     const auto length = static_cast<std::uint32_t>(bytes_.size());
     std::memcpy(bytes_.data(), &length, sizeof(length));
--- a/tests/bench_adapter/wire_frames.hpp
+++ b/tests/bench_adapter/wire_frames.hpp
@@ -1,5 +1,5 @@
-/// Hand-made batch frames for the bench adapter, and what its replies say. The wire's numbers are written
-/// out, so that the tests don't share an error with the adapter.
+/// Builds batch frames for the bench adapter and reads its replies. The wire's numbers are literals here, so
+/// that the tests don't share an error with the adapter.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -30,18 +30,18 @@
     std::memcpy(bytes_.data() + position, &value, sizeof(T));
     return *this;
   }
-  /// A text after its length.
+  /// Appends a text, preceded by its length.
   Frame& text(std::string_view value) {
     put(static_cast<std::uint32_t>(value.size()));
     bytes_.insert(bytes_.end(), value.begin(), value.end());
     return *this;
   }
-  /// Begins a record with its code.
+  /// Starts a record with its code.
   Frame& record(std::uint8_t code) {
     ++records_;
     return put(code);
   }
-  /// The complete frame, at the simulation's time `clock` in nanoseconds.
+  /// Returns the complete frame. `clock` is the simulation's time in nanoseconds.
   [[nodiscard]] std::vector<std::uint8_t> bytes(std::uint64_t clock = 1'000'000'000,
                                                 std::uint32_t number = 5) const {
     Frame frame;
@@ -62,18 +62,18 @@
   return frame.record(8).put(instance).put(std::uint64_t{42}).text(text);
 }
 
-/// An endpoint list under the number `list`.
+/// Adds an endpoint list with the number `list`.
 inline Frame& add_list(Frame& frame, std::uint32_t list, const std::vector<std::uint32_t>& engines,
-                       std::uint8_t condition = 1) {
+                       std::uint8_t state = 1) {
   frame.record(6).put(list).put(static_cast<std::uint32_t>(engines.size()));
   for (const auto id : engines) {
-    frame.put(std::uint16_t{0}).put(condition).put(std::uint8_t{0}).put(1.0F).put(std::uint16_t{0}).put(id);
+    frame.put(std::uint16_t{0}).put(state).put(std::uint8_t{0}).put(1.0F).put(std::uint16_t{0}).put(id);
     frame.put(std::uint64_t{0});
   }
   return frame;
 }
 
-/// Hands the list to an instance.
+/// Notifies an instance that its endpoints changed to those of the list.
 inline Frame& add_list_change(Frame& frame, std::uint16_t instance, std::uint32_t list, std::uint8_t scope) {
   return frame.record(9).put(instance).put(list).put(std::uint64_t{1}).put(scope);
 }
@@ -92,7 +92,7 @@
   return frame.record(12).put(instance).put(id);
 }
 
-/// The engines that the send actions of a reply name.
+/// Returns the engines of the reply's send actions.
 inline std::vector<std::uint32_t> engines_of_sends(const std::vector<std::uint8_t>& reply) {
   std::vector<std::uint32_t> engines;
   for (std::size_t position = 8; position < reply.size();) {
--- a/tests/bench_adapter/wire_test.cpp
+++ b/tests/bench_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-/// The bench adapter's wire on hand-made frames, complete and truncated at every byte.
+/// The bench adapter on hand-built frames, complete and truncated at every byte.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,8 +17,8 @@
 
   const auto reply = host.reply_to(Frame{}.bytes(7, 1));
 
-  const std::vector<std::uint8_t> wanted{8, 0, 0, 0, 1, 0, 0, 0};
-  EXPECT_EQ(reply, wanted);
+  const std::vector<std::uint8_t> expected{8, 0, 0, 0, 1, 0, 0, 0};
+  EXPECT_EQ(reply, expected);
 }
 
 TEST(Wire, RequestIsSentToListedEngine) {
@@ -44,8 +44,8 @@
   add_request(batch, 1, 1);
   add_request(batch, 2, 2);
 
-  const std::vector<std::uint32_t> wanted{11, 22};
-  EXPECT_EQ(engines_of_sends(host.reply_to(batch.bytes())), wanted);
+  const std::vector<std::uint32_t> expected{11, 22};
+  EXPECT_EQ(engines_of_sends(host.reply_to(batch.bytes())), expected);
 }
 
 TEST(Wire, RecreatedInstanceHasNoState) {
@@ -154,7 +154,7 @@
   EXPECT_FALSE(engines_of_sends(host.reply_to(bytes)).empty());
 }
 
-// A peer's message: an engine's mark, then threads in three bits and memory in five.
+// A gossip entry has an engine's short id, then threads in three bits and memory in five.
 TEST(Wire, GossipIsSentAndArbitraryGossipIsAccepted) {
   WireHost host;
   const std::string text = std::string(settings_text) +
