--- a/fuzz/engine_frames.cpp
+++ b/fuzz/engine_frames.cpp
@@ -1,5 +1,5 @@
-/// Frames of the platform's engines: any split of the same bytes gives the same answers, and a result is
-/// complete rows or nothing.
+/// Frames of the platform's engines: any split of the same bytes gives the same answers, and a result has
+/// only complete rows.
 #include <string>
 #include <utility>
 #include <variant>
@@ -13,15 +13,15 @@
 
 using namespace paddlestand;
 
-/// The answers on one stream, and a text of what was made of them.
+/// Collects the answers on one stream and describes each in the output.
 class AnswerCollector {
  public:
   explicit AnswerCollector(std::string& output) : output_(output) {}
 
   fuzz::Flow add(engine_frames::Frame frame) {
     auto answer = engine_frames::read_answer(std::move(frame));
-    if (const auto* broken = std::get_if<engine_frames::ProtocolViolation>(&answer)) {
-      output_ += "unreadable " + broken->what;
+    if (const auto* violation = std::get_if<engine_frames::ProtocolViolation>(&answer)) {
+      output_ += "unreadable " + violation->what;
       return fuzz::Flow::stop;
     }
     const auto step = pages_.add(std::move(std::get<engine_frames::Answer>(answer)));
@@ -34,8 +34,8 @@
  private:
   void finish_result() {
     const std::string& result = pages_.body();
-    if (!engine_frames::has_complete_rows(result)) fuzz::fail("a result with an incomplete row");
-    if (result.size() > platform::max_result) fuzz::fail("a result that is too large");
+    if (!engine_frames::has_complete_rows(result)) fuzz::fail("a result has an incomplete row");
+    if (result.size() > platform::max_result) fuzz::fail("a result exceeds its size limit");
     pages_ = {};
   }
 
@@ -43,7 +43,7 @@
   platform::PagedAnswer pages_;
 };
 
-/// The seed's lowest bit says which side's frames are read.
+/// The seed's lowest bit selects the side whose frames are read.
 std::string run(fuzz::Chunks chunks, std::uint8_t seed) {
   const auto side = (seed & 1U) == 0 ? engine_frames::Side::engine : engine_frames::Side::manager;
   engine_frames::FrameReader reader(side);
@@ -61,5 +61,5 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  return paddlestand::fuzz::check_splits(data, size, run, "a split changed what is made of the frames");
+  return paddlestand::fuzz::check_splits(data, size, run, "splitting the input changed the frames");
 }
--- a/fuzz/history.cpp
+++ b/fuzz/history.cpp
@@ -1,10 +1,11 @@
-/// History files: any text is a history that can be replayed without a violation, or one error with a line.
+/// History files: any text is a history that can be replayed without a violation, or yields one error with a
+/// line number.
 #include "simulation/explorer/history.hpp"
 
 #include "simulation/explorer/replay.hpp"
 #include "target.hpp"
 
-constexpr std::size_t max_history_bytes = 4096;  // more takes too long to replay
+constexpr std::size_t max_history_bytes = 4096;  // longer histories take too long to replay
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace paddlestand;
--- a/fuzz/jsonrpc.cpp
+++ b/fuzz/jsonrpc.cpp
@@ -12,8 +12,7 @@
 using namespace paddlestand;
 
 constexpr std::size_t max_line = 512;
-/// What a line cutter may hold beside one line: the rest of the last chunk.
-constexpr std::size_t max_chunk = 256;
+constexpr std::size_t max_chunk = 256;  // bytes that a line splitter may buffer beyond one line
 
 std::vector<ClassSettings> make_classes() {
   std::vector<ClassSettings> classes(2);
@@ -25,7 +24,7 @@
   return classes;
 }
 
-/// A text for what was read from a line. Fails on a query that can't be executed.
+/// Describes the message of a line. Fails on a query that can't be executed.
 std::string text_of(const jsonrpc::Message& message) {
   if (const auto* query = std::get_if<jsonrpc::Query>(&message)) {
     if (query->statement.empty() || query->client_timeout.count() <= 0 || query->id < 1)
@@ -49,7 +48,7 @@
     lines.feed(chunks.next());
     while (const auto line = lines.next()) output += text_of(reader.read(*line));
     if (chunks.is_split() && lines.buffered_bytes() > max_line + max_chunk)
-      fuzz::fail("more than a line is buffered");
+      fuzz::fail("more than one line is buffered");
   }
   return output + (lines.too_long() ? "long" : "");
 }
@@ -57,5 +56,5 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  return paddlestand::fuzz::check_splits(data, size, run, "a split changed what is made of the lines");
+  return paddlestand::fuzz::check_splits(data, size, run, "splitting the input changed the messages");
 }
--- a/fuzz/pg_engine.cpp
+++ b/fuzz/pg_engine.cpp
@@ -1,5 +1,4 @@
-/// The backend side of PostgreSQL's protocol: any split of the same bytes gives the same answer, ends and
-/// progress.
+/// The backend side of PostgreSQL's protocol: any split of the same bytes gives the same answer and events.
 #include <string>
 #include <variant>
 #include <vector>
@@ -11,15 +10,15 @@
 
 using namespace paddlestand;
 
-/// Appends a line for an event. False where the connection is of no further use after it.
+/// Appends a line for an event. Returns false if the connection can't be used after it.
 bool append_event(std::string& output, const pg::BackendEvent& event) {
   if (std::holds_alternative<pg::BackendReady>(event)) {
     output += "ready\n";
   } else if (std::holds_alternative<pg::BackendLoginRejected>(event)) {
     output += "refused\n";
     return false;
-  } else if (const auto* broken = std::get_if<pg::BackendProtocolError>(&event)) {
-    output += "broken " + broken->what + "\n";
+  } else if (const auto* error = std::get_if<pg::BackendProtocolError>(&event)) {
+    output += "broken " + error->what + "\n";
     return false;
   } else if (const auto* end = std::get_if<pg::BackendAnswerEnd>(&event)) {
     output += "end " + std::to_string(static_cast<int>(end->ending)) + (end->reusable ? "r" : "") +
@@ -41,7 +40,7 @@
     connection.feed(chunks.next(), events, reply);
     output += reply;
     for (const pg::BackendEvent& event : events) {
-      // Without the answer: how much of it was read before the end depends on the split.
+      // The answer is omitted, because the part read before the event depends on the split.
       if (!append_event(output, event)) return output;
     }
     answer += connection.answer();
@@ -53,5 +52,6 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  return paddlestand::fuzz::check_splits(data, size, run, "a split changed what is made of the bytes");
+  return paddlestand::fuzz::check_splits(data, size, run,
+                                         "splitting the input changed the answer or the events");
 }
--- a/fuzz/pg_front.cpp
+++ b/fuzz/pg_front.cpp
@@ -23,7 +23,7 @@
   return {settings, users, {7, 9}, "nonce"};
 }
 
-/// Answers a request at once; the length of its text says whether as a success or a failure.
+/// Answers a request immediately: with an error if the length of its text is odd, otherwise with success.
 void answer_request(pg::FrontendSession& session, const pg::FrontendRequest& request) {
   if (request.text.size() % 2 != 0) {
     session.request_failed({});
@@ -34,7 +34,7 @@
   session.request_done(end);
 }
 
-/// Appends a text for an event and answers a request. False where the session has ended.
+/// Appends a line for an event and answers a request. Returns false if the session has ended.
 bool process_event(std::string& output, pg::FrontendSession& session, const pg::FrontendEvent& event) {
   if (const auto* request = std::get_if<pg::FrontendRequest>(&event)) {
     output += "request " + request->text + "\n" + request->query.bytes + "\n";
@@ -52,7 +52,7 @@
   return false;
 }
 
-/// The seed's lowest bit says whether users are trusted or have to authenticate.
+/// The seed's lowest bit selects whether users are trusted or have to authenticate.
 std::string run(fuzz::Chunks chunks, std::uint8_t seed) {
   pg::FrontendSession session = make_session((seed & 1U) == 0);
   std::string output;
@@ -71,5 +71,6 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  return paddlestand::fuzz::check_splits(data, size, run, "a split changed what is made of the bytes");
+  return paddlestand::fuzz::check_splits(data, size, run,
+                                         "splitting the input changed the requests or the replies");
 }
--- a/fuzz/platform_config.cpp
+++ b/fuzz/platform_config.cpp
@@ -1,4 +1,4 @@
-/// The platform's configuration: any text is a configuration, or one problem with a text.
+/// The platform's configuration: any text is a valid configuration, or yields one error with a text.
 #include <variant>
 
 #include "platform/config.hpp"
--- a/fuzz/read_messages.hpp
+++ b/fuzz/read_messages.hpp
@@ -1,4 +1,4 @@
-/// The loop of the targets whose reader gives one message after another, or an error that ends the stream.
+/// The read loop of targets whose reader returns messages, or an error that ends the stream.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 
 namespace paddlestand::fuzz {
 
-/// What is to follow a message.
+/// Whether reading continues after a message.
 enum class Flow : std::uint8_t { next, stop };
 
-/// Feeds the input to `reader` and calls `handle` with each message, until that returns Flow::stop, the
-/// reader gives an error of type `Broken`, which is appended to `output`, or the input ends. The reader's
-/// next() returns a variant that holds std::monostate where more bytes are needed.
-template <typename Broken, typename Reader, typename Handle>
+/// Feeds the input to `reader` and calls `handle` with each message until `handle` returns Flow::stop, the
+/// reader returns an error of type `Violation`, which is appended to `output`, or the input ends. The
+/// reader's next() returns a variant that holds std::monostate if more bytes are needed.
+template <typename Violation, typename Reader, typename Handle>
 void read_messages(Chunks chunks, Reader& reader, std::string& output, Handle handle) {
   while (chunks.has_next()) {
     reader.feed(chunks.next());
     for (;;) {
       auto message = reader.next();
       if (std::holds_alternative<std::monostate>(message)) break;
-      if (const auto* broken = std::get_if<Broken>(&message)) {
-        output += "broken " + broken->what;
+      if (const auto* violation = std::get_if<Violation>(&message)) {
+        output += "broken " + violation->what;
         return;
       }
       if (handle(std::move(message)) == Flow::stop) return;
--- a/fuzz/replay_main.cpp
+++ b/fuzz/replay_main.cpp
@@ -1,4 +1,4 @@
-/// Runs a fuzz target over files, or over all files of folders: what CI does with the corpora.
+/// Runs a fuzz target on files, or on all files of folders. CI does so with the corpora.
 #include <algorithm>
 #include <filesystem>
 #include <fstream>
@@ -15,7 +15,7 @@
 
 constexpr int exit_bad_usage = 2;
 
-/// The files that the arguments name, sorted; of a folder, all that it holds.
+/// Returns the files that the arguments name, sorted. A folder stands for all files in it.
 std::vector<fs::path> files_of(int argc, char** argv) {
   std::vector<fs::path> files;
   for (int i = 1; i < argc; ++i) {
@@ -40,7 +40,7 @@
 int main(int argc, char** argv) {
   const std::vector<fs::path> files = files_of(argc, argv);
   if (files.empty()) {
-    std::cerr << "wanted: files, or folders with files\n";
+    std::cerr << "expected files, or folders with files\n";
     return exit_bad_usage;
   }
   for (const auto& path : files) run_target(path);
--- a/fuzz/target.hpp
+++ b/fuzz/target.hpp
@@ -1,4 +1,4 @@
-/// What the fuzz targets share: input as text, as a file and in chunks, and checks of what is made of it.
+/// Shared by the fuzz targets: input as text, as a file and in chunks, and checks of the results.
 #pragma once
 
 #include <unistd.h>
@@ -13,7 +13,7 @@
 
 namespace paddlestand::fuzz {
 
-/// Reports what the target found and aborts, which the fuzzer takes for a crash.
+/// Reports a failed check and aborts, which the fuzzer treats as a crash.
 [[noreturn]] inline void fail(const char* what) {
   std::fprintf(stderr, "fuzz: %s\n", what);
   std::abort();
@@ -24,8 +24,8 @@
   return {reinterpret_cast<const char*>(data), size};
 }
 
-/// Writes the input for readers that take a path, and returns the path: one file for each process,
-/// overwritten each time.
+/// Writes the input to a file for readers that take a path, and returns the path. Each process has one file,
+/// which every call overwrites.
 inline std::string as_file(std::string_view text) {
   static const std::string path = [] {
     const char* folder = std::getenv("TMPDIR");
@@ -35,12 +35,12 @@
   return path;
 }
 
-/// Input in chunks, as a socket may deliver it: of 1, 2, 4 up to 128 bytes.
+/// Splits the input into chunks, as a socket may deliver it. Their sizes are powers of two up to 128 bytes.
 class Chunks {
  public:
-  /// All bytes at once, even if there are none.
+  /// One chunk with all bytes, even if there are none.
   static Chunks unsplit(std::string_view bytes) { return {bytes, 0, false}; }
-  /// Lengths follow from the seed, and are often 1.
+  /// Chunks whose sizes depend on the seed.
   static Chunks split(std::string_view bytes, std::uint32_t seed) {
     return {bytes, seed * seed_multiplier + 1, true};
   }
@@ -59,7 +59,7 @@
 
  private:
   static constexpr std::uint32_t chunk_sizes = 8;
-  // A linear congruential generator; neighbouring seeds begin far apart.
+  // A linear congruential generator. The seed is multiplied so that adjacent seeds give distant states.
   static constexpr std::uint32_t seed_multiplier = 2654435761U;
   static constexpr std::uint32_t generator_multiplier = 1664525U;
   static constexpr std::uint32_t generator_increment = 1013904223U;
@@ -73,8 +73,8 @@
   bool has_begun_ = false;
 };
 
-/// Fails where `run`, called with Chunks and the first byte, returns another text for the input in chunks
-/// than for all of it at once. The first byte is the seed.
+/// Calls `run` with Chunks and a seed, once with the input unsplit and once split. Fails if the results
+/// differ. The input's first byte is the seed.
 template <typename Run>
 int check_splits(const std::uint8_t* data, std::size_t size, Run run, const char* failure) {
   if (size < 1) return 0;
@@ -84,7 +84,7 @@
   return 0;
 }
 
-/// Fails where what a reader returned is an error of type `Error` without a text.
+/// Fails if a reader's result is an error of type `Error` without a text.
 template <typename Error, typename Result>
 void check_error_has_text(const Result& result) {
   const auto* error = std::get_if<Error>(&result);
@@ -93,6 +93,6 @@
 
 }  // namespace paddlestand::fuzz
 
-/// The entry point of a target; libFuzzer calls it by this name. Returns 0.
+/// The entry point of a target, which libFuzzer calls by this name. Returns 0.
 // NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
--- a/fuzz/wire.cpp
+++ b/fuzz/wire.cpp
@@ -1,4 +1,4 @@
-/// The simulator's wire: any bytes are batch frames that get one reply each, up to a malformed one.
+/// The simulator's wire: each batch frame gets a reply, up to the first malformed frame.
 #include <algorithm>
 #include <span>
 
@@ -9,7 +9,7 @@
 
 using namespace paddlestand;
 
-/// The first frame of `bytes`; what there is of it where its end is missing.
+/// The first frame of `bytes`, or its available part if it is incomplete.
 std::span<const std::uint8_t> first_frame(std::span<const std::uint8_t> bytes) {
   const std::size_t length = bench_adapter::frame_length(bytes.first(bench_adapter::frame_length_bytes));
   return bytes.first(std::min(length, bytes.size()));
@@ -27,7 +27,7 @@
       remaining = remaining.subspan(frame.size());
     }
   } catch (const bench_adapter::MalformedFrame&) {
-    return 0;  // the host is of no further use
+    return 0;  // the host can't be used after that
   }
   return 0;
 }
