--- a/src/config/manager_config.cpp
+++ b/src/config/manager_config.cpp
@@ -39,7 +39,7 @@
     throw ReadAborted{{file_, element.line(), std::move(message)}};
   }
 
-  /// The index of `name`. `subject` says in the error what is named.
+  /// Returns the index of `name`. The error for an unknown name calls it a `subject`.
   std::uint32_t index_of(const Element& element, const IndexByName& indices, const std::string& name,
                          const char* subject) const {
     const auto found = indices.find(name);
