--- a/include/paddlestand/workload_manager.hpp
+++ b/include/paddlestand/workload_manager.hpp
@@ -65,7 +65,7 @@
   std::optional<std::vector<std::uint32_t>> allowed_kinds;
   double threads{};  // threads that a request of this class uses
   bool writes_tables{};  // a request locks its table group on its engine while it runs
-  bool waits_for_writers{};  // a request waits while its table group is locked
+  bool waits_for_writers{};  // a request waits while another one locks its table group
 };
 
 /// Hardware of one kind of engine.
@@ -312,7 +312,7 @@
   WorkloadManager(WorkloadManager&&) noexcept;
   WorkloadManager& operator=(WorkloadManager&&) noexcept;
 
-  /// Handles one event and appends the actions that follow to `actions`. `now` must not run backwards. A
+  /// Handles one event and appends the actions that follow to `actions`. `now` must not decrease. A
   /// request whose id is in use or whose class is unknown is answered with Fail.
   void handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
--- a/src/core/classify.hpp
+++ b/src/core/classify.hpp
@@ -17,7 +17,7 @@
 /// A rule matches if all of its conditions match. The first matching rule applies.
 struct ClassRule {
   std::string user, database, application;  ///< empty: any
-  std::string statement;  ///< regular expression, searched for at the start of the statement; empty: any
+  std::string statement;  ///< regular expression, searched for in the first 4096 bytes; empty: any
   std::string class_name;  ///< empty: the rule sets no class
   std::string tenant;  ///< empty: the rule sets no tenant
 };
--- a/src/core/coordinator_rules.hpp
+++ b/src/core/coordinator_rules.hpp
@@ -1,5 +1,4 @@
-/// The small rules that the query coordinator follows with attempts and channels, each in one place. All are
-/// free of I/O and of state of their own.
+/// Rules of the query coordinator for attempts and channels. They are stateless functions without I/O.
 #pragma once
 
 #include <vector>
@@ -27,7 +26,7 @@
     timers.disarm(attempt.timeout);
   }
 
-  /// Detaches the attempt from a channel that is still opening. The channel may come up and serve another
+  /// Detaches the attempt from a channel that is still opening. Once open, the channel may carry another
   /// query.
   static void detach_attempt(ChannelRecord& channel, TimerService&) { channel.query.reset(); }
 
@@ -45,15 +44,15 @@
     channel.state.transition_to(ChannelState::cancelling, "module cancels");
   }
 
-  /// Whether a channel is closed at once when its engine is no longer ready. What has not been sent must not
-  /// be: once its channel is up, the drain grace may be over. What a probe finds out later would be credited
-  /// to the engine's next process.
+  /// Whether a channel is closed at once when its engine is no longer ready. An unsent query must not be sent
+  /// later, since the drain grace may be over when its channel opens. The result of a probe must not arrive
+  /// later, since it would be attributed to the engine's next process.
   [[nodiscard]] static bool closes_with_engine(const ChannelRecord& channel) {
     return channel.is_unsent() || channel.use == ChannelUse::probe;
   }
 
-  /// Whether a channel whose answer ended must be read again first. Its last part may have arrived in one
-  /// read with the end: a channel that is still paused would be paused under the next query.
+  /// Whether a channel whose answer ended must first be resumed. The end may have arrived in the same read as
+  /// the part that paused the channel, which would then still be paused when it carries the next query.
   [[nodiscard]] static bool resumes_at_answer_end(const ChannelRecord& channel) { return channel.paused; }
 
   /// The result of an attempt whose channel was lost.
--- a/src/core/invariants.hpp
+++ b/src/core/invariants.hpp
@@ -25,7 +25,8 @@
   complete_answer,
   resource_limits,
   retry_advice,
-  // Checked by the explorer only.
+  // Checked by the explorer only: the monitor sees neither the coordinator's records nor whether faults have
+  // ceased.
   consistent_state,
   termination,
   count
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -27,7 +27,7 @@
 /// ChannelLost instead: its meaning depends on the progress of the query, which the query coordinator knows.
 enum class Ending : std::uint8_t {
   complete,  ///< the complete answer arrived; it may be an error that the statement itself caused
-  engine_error,  ///< the engine failed; the query may have run
+  engine_error,  ///< the engine failed to execute the query, which may have run
   full,  ///< rejected before it ran
   expired,  ///< the deadline passed before the query started on the engine: it never ran
   cancelled,  ///< the engine reports that it stopped the query
@@ -130,7 +130,7 @@
   QueryId query{};
   std::uint32_t attempt{};
   std::uint8_t priority{};
-  double memory_mb{};  ///< zero: the engine's choice
+  double memory_mb{};  ///< zero: the engine decides
 };
 struct SendProbe {
   ChannelId channel{};
@@ -169,8 +169,8 @@
 struct AttemptAccount {
   EngineId engine{};
   std::optional<AttemptResult> result;  ///< none: still active
-  Duration began{};  ///< since the query arrived
-  Duration elapsed{};  ///< until it ended, or until now
+  Duration began{};  ///< time from the query's arrival to the start of the attempt
+  Duration elapsed{};  ///< time from the start of the attempt to its end, or to now if it is active
 };
 /// The final answer: nothing more is sent to the client for this query.
 struct Answer {
@@ -191,7 +191,7 @@
 struct LogMessage {
   std::string text;
 };
-/// The graceful shutdown is complete: no query is held, and the host may stop.
+/// The graceful shutdown is complete: no query is left, and the host may stop.
 struct ShutdownComplete {};
 
 using HostAction =
--- a/src/core/wire_attempts.hpp
+++ b/src/core/wire_attempts.hpp
@@ -2,8 +2,9 @@
 /// than from the events of the query coordinator: this class alone knows when an attempt has ended for its
 /// engine. No I/O; not thread-safe.
 ///
-/// An attempt is active from its first byte until its end was read, its cancel was transmitted, or its
-/// connection is closed. A cancel that is still queued, here or in the socket's buffer, ends no attempt.
+/// An attempt is active from its first byte until its end was read, its cancel was transmitted (has left this
+/// machine), or its connection is closed. A cancel that is still queued, here or in the socket's buffer, ends
+/// no attempt.
 #pragma once
 
 #include <cstddef>
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -35,12 +35,13 @@
 
 }  // namespace
 
-/// Ages of the unfinished requests of a class.
+/// Ages of a class's unfinished requests that are the first of their ordering key. A request's age counts
+/// from its arrival, or from when it became the first of its key.
 struct AdmissionController::LatencySample {
-  // Arrival times of the oldest and newest request within its objective, in seconds.
+  // Times from which the ages of the oldest and newest request within its objective count, in seconds.
   double oldest = 0;
   double newest = -1;
-  double requests = 0;  // unfinished requests that are the first of their ordering key
+  double requests = 0;  // number of these requests
   double objective_sum = 0;  // seconds
   double late_requests = 0;  // number of requests past their objective
   double late_age_sum = 0;  // seconds
--- a/src/decision/admission_controller.hpp
+++ b/src/decision/admission_controller.hpp
@@ -21,9 +21,11 @@
   AdmissionController(ManagerState& state, const CostModel& costs, const ResourceGrants& grants)
       : state_(state), costs_(costs), grants_(grants) {}
 
-  /// Whether `request` fits its class's bound. A request that is alone in its class is admitted while engines
-  /// are free, so that a small bound never closes the class. Requests that wait for earlier ones of their
-  /// ordering key don't wait for engines: they count only against requests of the same key.
+  /// Whether `request` fits its class's bound; over its tenant's quota, it must also find the engines free. A
+  /// request that is alone in its class's queue is admitted while engines are free, so that a small bound
+  /// never closes the class, unless latencies over the target have made the feedback bound negative. Requests
+  /// that wait for earlier ones of their ordering key don't wait for engines: they count only against
+  /// requests of the same key.
   [[nodiscard]] bool admits(const Request& request) const;
 
   /// Whether most of the engines' threads are in use by requests that `request` competes with.
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -23,11 +23,11 @@
 // Terms of an engine's load, in units of this manager's thread bound for the engine.
 constexpr double tie_break_noise = 0.05;  // smaller differences count as a tie
 constexpr double failure_weight = 4;  // times the failure score
-constexpr double zone_load_weight = 0.1;  // times the queries that engines of the zone report
+constexpr double zone_load_weight = 0.1;  // on average, for each query that an engine of the zone reports
 constexpr double writer_penalty = 4;  // if a request that writes the same table group runs there
 constexpr double retry_penalty = 4;  // for each earlier attempt of this request on the engine
-/// Lower than any other load: an engine on probation gets the next idempotent request whatever its failure
-/// score.
+/// Replaces the term for failures of an engine on probation. It is negative, so that such an engine gets the
+/// next idempotent request, whatever its failure score.
 constexpr double probation_load = -1;
 
 }  // namespace
--- a/src/decision/manager_state.hpp
+++ b/src/decision/manager_state.hpp
@@ -55,8 +55,8 @@
   double resubscribe_at = 0;  // zero: not scheduled
 };
 
-/// State of one manager. A copy is independent of the original, except that both share the immutable
-/// settings.
+/// State of one manager. A copy is independent of the original and behaves as the original would; both share
+/// the immutable settings.
 struct ManagerState {
   explicit ManagerState(Settings given_settings);
 
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -88,8 +88,9 @@
 void OutlierDetector::check_engines() {
   const FleetSummary& fleet = state_.fleet;
   for (auto& [id, engine] : state_.engines) {
-    // At most half of the engines may be unhealthy at a time. If more of them fail, the cause is not in
-    // single engines, and ejecting them would overload the others.
+    // A silent engine is ejected only if at most half of the ready engines are unhealthy then. If more of
+    // them are silent, the cause is not in single engines, and ejecting them would overload the others.
+    // Ejections for failures have no such limit.
     const bool may_eject = 2 * (fleet.unhealthy_engines + 1) <= fleet.ready_engines;
     if (is_silent(engine) && may_eject) eject(engine, "not responding");
     if (engine.health == Health::ejected && state_.now >= engine.ejected_until && engine.is_ready() &&
--- a/src/decision/outlier_detector.hpp
+++ b/src/decision/outlier_detector.hpp
@@ -32,8 +32,8 @@
 
   /// Updates the number of overdue attempts of each engine.
   void count_overdue_attempts();
-  /// Ejects engines that answer nothing while attempts are overdue, and starts the recovery of ejected ones
-  /// whose ejection time is over.
+  /// Ejects engines that answer nothing while attempts are overdue, unless more than half of the ready
+  /// engines would be unhealthy then. Starts the recovery of ejected engines whose ejection time is over.
   void check_engines();
   /// Erases engines that are no longer listed or referenced and whose outcomes no longer count. Without this
   /// the table would grow without limit, as an autoscaled fleet assigns new ids all the time.
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -28,7 +28,9 @@
   bool in_flight = true;
   bool cancelled = false;
   bool announced = false;  // to peers, by gossip
-  bool had_spare_cores = false;  // on the engine at the send: work can be inferred from the run time
+  // Whether the engine had spare cores at the send, estimated from this manager's threads on it. If so, work
+  // can be inferred from the run time.
+  bool had_spare_cores = false;
   bool may_have_run = true;  // false once its result proves that it didn't
   bool in_running_cost = true;  // counted in its class's running cost
   bool of_earlier_process = false;  // the engine restarted since the send: the result doesn't count for it
--- a/src/decision/resource_grants.cpp
+++ b/src/decision/resource_grants.cpp
@@ -16,7 +16,7 @@
 /// large costs nothing.
 constexpr double overcommit_grant_factor = 2;
 /// Standard deviations by which the memory bound may be exceeded. Few managers reach a small bound at the
-/// same time, but requests that fill memory run long.
+/// same time, but requests that fill memory run long, so the factor is smaller than that for threads.
 constexpr double memory_deviations = 0.8;
 /// Lowest priority weight per second of work for the priorities 3, 2 and 1, relative to the mean of all
 /// requests.
--- a/src/decision/resource_grants.hpp
+++ b/src/decision/resource_grants.hpp
@@ -23,8 +23,9 @@
   /// memory use that answers reported.
   [[nodiscard]] double granted_memory(const Request& request) const;
 
-  /// Whether the request fits this manager's share of the fleet's memory. Always true if engines queue
-  /// requests when memory runs short, and for requests that are announced to peers.
+  /// Whether the request fits this manager's share of the fleet's memory. Limits only if a shortage slows
+  /// down everything on an engine: always true if engines queue requests when memory runs short, and for
+  /// requests that are announced to peers.
   [[nodiscard]] bool has_memory_for(const Request& request) const;
 
   /// Threads in flight that compete with `request`. If engines share cores by priority, threads of lower
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -29,7 +29,8 @@
   if (!is_warming_up(engine)) return true;
   const Settings& settings = state_.settings;
   const double window = std::max(to_seconds(settings.overload_window), 1e-3);
-  // It is unknown what this manager sent within the window before it restarted.
+  // Nothing is sent in the first window: what this manager may have sent before a restart is unknown, and
+  // would count against the same budget.
   if (state_.now < window) return false;
   double sent = budgeted_work(request);
   for (const auto& [sent_at, work] : engine.slow_start_sends) {
@@ -65,7 +66,8 @@
 }
 
 /// With many managers, equal shares would be smaller than one request, so only some managers get a share. The
-/// engine's id determines which. All managers compute the same result, so the shares never exceed the budget.
+/// engine's id determines which. All managers compute the same result, so the shares never sum to more than
+/// the budget.
 double SlowStart::manager_budget(const Engine& engine, double budget_per_core) const {
   const double instances = instance_count(state_.settings);
   const double index = state_.settings.instance_index;
--- a/src/decision/workload_manager.cpp
+++ b/src/decision/workload_manager.cpp
@@ -168,8 +168,8 @@
     answer_at_deadline();
     Schedule& schedule = state_.schedule;
     if (state_.now < schedule.next_check) return;
-    // Timers of deadlines cause this event too. With half a period of tolerance, none of them makes a regular
-    // check be skipped.
+    // Timers of deadlines cause this event too and may run the checks early, but not within half a period of
+    // the last run. Each run sets a timer for the next one, so at most one period lies between two runs.
     schedule.next_check = state_.now + check_period / 2;
     actions_.set_timer(check_period);
     if (state_.now >= schedule.next_control_period) {
--- a/tests/core/query_coordinator_channels_test.cpp
+++ b/tests/core/query_coordinator_channels_test.cpp
@@ -14,7 +14,7 @@
   harness.submit(1);
   const ChannelId channel = harness.start(1);
   harness.handle(ClientCancelled{1});
-  harness.end_answer(channel);  // it ended before the cancel reached the engine
+  harness.end_answer(channel);  // the answer ended before the cancel reached the engine
 
   EXPECT_TRUE(harness.emitted<CloseChannel>(channel));
 
--- a/tests/core/query_coordinator_test.cpp
+++ b/tests/core/query_coordinator_test.cpp
@@ -183,7 +183,8 @@
   harness.submit(1);
   const ChannelId first = harness.start(1);
   const std::size_t before = harness.delivered(1);
-  const std::size_t opened = harness.actions<OpenChannel>().size();  // slow: cancelled, and retried elsewhere
+  // The first attempt is slow, so it is cancelled and retried on another engine.
+  const std::size_t opened = harness.actions<OpenChannel>().size();
   for (int i = 0; i < 200 && harness.actions<OpenChannel>().size() == opened; ++i) harness.advance(10ms);
   ASSERT_TRUE(harness.emitted<CancelOnEngine>(first));
   const ChannelId second = harness.start(1);
--- a/tests/core/resource_level_test.cpp
+++ b/tests/core/resource_level_test.cpp
@@ -30,7 +30,7 @@
     now_ = until;
   }
 
-  /// The entries of all tables of both.
+  /// Number of entries in all tables of the coordinator and the monitor.
   [[nodiscard]] std::size_t entries() {
     EntryCounter found;
     coordinator.visit(found);
--- a/tests/core/stream_table_test.cpp
+++ b/tests/core/stream_table_test.cpp
@@ -51,7 +51,7 @@
   ASSERT_TRUE(table.open(7, 2));
 
   table.close(7);
-  table.release(7);  // no effect, since the stream was closed
+  table.release(7);  // no effect, since the stream was opened and closed: its id stays used
 
   EXPECT_FALSE(table.may_carry(7));
 }
@@ -79,7 +79,7 @@
   EXPECT_TRUE(wire.out(7));
   EXPECT_FALSE(wire.out(8));
 
-  wire.ended(7, 2);  // on another connection: not its end
+  wire.ended(7, 2);  // no effect, since the attempt is on another connection
 
   EXPECT_TRUE(wire.out(7));
 
