--- a/src/platform/config.hpp
+++ b/src/platform/config.hpp
@@ -31,7 +31,7 @@
   Address discovery_endpoint;
   Limits limits;
   core::CoreSettings core;
-  std::vector<std::string> report_names;  ///< of the values in load reports; empty if engines send no reports
+  std::vector<std::string> report_names;  ///< of the values in load reports; empty if there are no reports
   std::uint32_t streams_per_connection = 1;  ///< on connections to engines
   std::uint64_t cursor = 0;  ///< number of the last known event
   std::vector<discovery::Event> known;  ///< events up to the cursor
--- a/src/platform/endpoint_list.hpp
+++ b/src/platform/endpoint_list.hpp
@@ -20,8 +20,8 @@
     gap  ///< an earlier event is missing and must be requested
   };
 
-  /// Applies an event. Fills `update` with the changes, with start times since 1970, and `ended_processes`
-  /// with the engines whose process was removed, moved or restarted.
+  /// Applies an event. Fills `update` with the changes, with start times as time since 1970, and
+  /// `ended_processes` with the engines whose process was removed, moved or restarted.
   ApplyResult apply(const discovery::Event& event, core::EndpointsUpdated& update,
                     std::vector<EngineId>& ended_processes);
   /// Drops the addresses of removed engines; called when nothing can be sent to them any longer.
--- a/src/platform/engine_connection.hpp
+++ b/src/platform/engine_connection.hpp
@@ -119,7 +119,8 @@
   std::size_t stream_count_ = 0;
   FrameQueue queue_;
   std::uint64_t sent_bytes_ = 0;  // accepted by the socket
-  std::map<core::StreamId, std::uint64_t> cancel_ends_;  // by stream: sent_bytes_ at the end of its cancel
+  // By stream: sent_bytes_ at the end of its cancel. Few entries, since a cancel retires the connection.
+  std::map<core::StreamId, std::uint64_t> cancel_ends_;
   boost::system::error_code send_error_;
   TimePoint opened_at_{};
   TimePoint last_received_{};
--- a/src/platform/engine_connections.hpp
+++ b/src/platform/engine_connections.hpp
@@ -23,7 +23,7 @@
 
   struct Settings {
     std::size_t streams_per_connection = 1;
-    std::size_t max_connections = 0;  ///< to all engines
+    std::size_t max_connections = 0;  ///< to all engines together
     Duration connect_timeout{};
   };
 
@@ -34,8 +34,9 @@
   /// Connections by engine; no entry is empty.
   [[nodiscard]] const std::map<EngineId, std::vector<Connection>>& all() const { return connections_; }
 
-  /// Chooses or opens the connection for a stream with this id (core::choose_connection). The connection may
-  /// not be established yet; null if there is none. `engines`: how many engines share the limit.
+  /// Chooses or opens the connection for a stream with this id (core::choose_connection), which may not be
+  /// established yet. Returns null if none can be used or opened. `engines`: how many engines share the
+  /// limit.
   Connection place(EngineId engine, const tcp::endpoint& address, core::ChannelUse use, core::StreamId stream,
                    std::size_t engines);
   /// Returns null if there is no connection with this number.
--- a/src/platform/engine_stream.hpp
+++ b/src/platform/engine_stream.hpp
@@ -27,7 +27,7 @@
   std::uint8_t priority = 0;
   bool is_sent = false;  ///< its frame was sent or is in the connection's queue
   bool is_ended = false;  ///< its answer was read, or it was cancelled
-  TimePoint last_progress{};  ///< when it was sent or the last page of its answer arrived
+  TimePoint last_progress{};  ///< when it was sent, or a page of its answer last arrived
   PagedAnswer answer;
 };
 
--- a/src/platform/frame_queue.hpp
+++ b/src/platform/frame_queue.hpp
@@ -37,7 +37,7 @@
   [[nodiscard]] std::string_view unsent() const {
     return std::string_view(frames_.front().content.bytes).substr(sent_bytes_);
   }
-  /// Drops the first frame, of which no byte may have been sent.
+  /// Drops the first frame. Requires that no byte of it was sent.
   void drop_front() { frames_.pop_front(); }
 
   /// Records that `bytes` more of the first frame were sent. Removes and returns the frame when it is
@@ -62,7 +62,7 @@
     return WithdrawResult::not_queued;
   }
 
-  /// Removes the commands for a stream of which no byte was sent.
+  /// Removes the queued commands for a stream, except one that is partially sent.
   void withdraw_commands(core::StreamId stream) {
     const auto first_unsent = frames_.begin() + (is_front_started() ? 1 : 0);
     const auto is_command = [&](const Frame& frame) { return frame.channel == 0 && frame.stream == stream; };
--- a/src/platform/graceful_shutdown.cpp
+++ b/src/platform/graceful_shutdown.cpp
@@ -12,11 +12,12 @@
 namespace {
 
 constexpr Duration arrival_period = 700ms;  // during which requests may still arrive after SIGTERM
-// SIGKILL comes no sooner than that period plus the longest deadline, which counts up to this maximum.
+// SIGKILL comes no sooner than that period plus the longest deadline. A longer deadline, and a class without
+// one, count as this maximum.
 constexpr Duration max_counted_deadline = 3s;
 constexpr Duration answer_margin = 300ms;  // before SIGKILL, to transmit the last answers
 constexpr Duration exit_margin = 100ms;  // before SIGKILL, for the process to exit by itself
-constexpr Duration frequent_sweep_margin = 250ms;  // before SIGKILL, to start frequent sweeps
+constexpr Duration frequent_sweep_margin = 250ms;  // before SIGKILL, to start closing idle connections often
 constexpr Duration frequent_sweep_period = 20ms;
 
 }  // namespace
--- a/src/platform/partial_message.hpp
+++ b/src/platform/partial_message.hpp
@@ -30,7 +30,7 @@
 
  private:
   static constexpr auto idle_timeout = std::chrono::seconds(2);
-  static constexpr auto timeout = std::chrono::seconds(6);  // longer, to serve slow writers
+  static constexpr auto timeout = std::chrono::seconds(6);  // a slow sender gets more time than a silent one
 
   std::optional<TimePoint> since_;
   TimePoint last_received_{};
--- a/src/protocol/engine_frames/frames.hpp
+++ b/src/protocol/engine_frames/frames.hpp
@@ -30,8 +30,8 @@
 /// The sender of a frame, as encoded in the magic byte.
 enum class Side : std::uint8_t { manager = 128, engine = 129 };
 
-/// Frame codes sent by a manager, with the values on the wire. The wire names differ in: cancel (give_up),
-/// fetch_page (page), discard_pages (no_more).
+/// Frame codes sent by a manager, with the values on the wire. The protocol's own names are give_up for
+/// `cancel`, page for `fetch_page` and no_more for `discard_pages`.
 enum class Command : std::uint8_t {
   request = 1,
   cancel = 2,
@@ -47,9 +47,9 @@
   ok = 0,
   full = 3,
   error = 4,
-  expired = 5,  ///< wire name: over
-  healthy = 6,  ///< wire name: well
-  unhealthy = 7,  ///< wire name: ill
+  expired = 5,  ///< named `over` in the protocol
+  healthy = 6,  ///< named `well` in the protocol
+  unhealthy = 7,  ///< named `ill` in the protocol
   page = 9
 };
 
--- a/src/protocol/pg/frontend_session.hpp
+++ b/src/protocol/pg/frontend_session.hpp
@@ -109,7 +109,7 @@
   FrontendLogin login_;
   SessionParameters parameters_;
   PreparedStatements statements_;
-  std::optional<ExtendedBatch> batch_;  // messages since the last Sync or Flush
+  std::optional<ExtendedBatch> batch_;  // messages that no Sync or Flush has submitted yet
   std::vector<ExtendedBatch::NamedStatement> parsed_in_flight_;  // parsed by the request in flight
   bool busy_ = false;
   BatchEnd request_end_ = BatchEnd::sync;  // flush: the client has not sent its Sync yet
--- a/src/protocol/pg/session_parameters.cpp
+++ b/src/protocol/pg/session_parameters.cpp
@@ -57,7 +57,7 @@
   return token;
 }
 
-/// Joins the tokens of a value, separated by spaces except around signs.
+/// Joins the tokens of a value with spaces, except before a comma and after a plus or minus sign.
 std::string join_value(const std::vector<std::string>& tokens, std::size_t first) {
   std::string value;
   for (std::size_t i = first; i < tokens.size(); ++i) {
--- a/src/service/listener.cpp
+++ b/src/service/listener.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr int max_accepts_per_turn = 256;  // lets other work of the event loop run
+constexpr int max_accepts_per_turn = 256;  // so that other work of the event loop can run
 constexpr Duration min_backoff = 5ms;
 constexpr Duration max_backoff = 50ms;
 constexpr auto max_drain_time = 400ms;
--- a/src/service/postgres_server.cpp
+++ b/src/service/postgres_server.cpp
@@ -27,7 +27,7 @@
 constexpr auto sweep_period = 1s;
 constexpr auto signal_period = 50ms;
 constexpr ReloadRetry::Limits reload_limits{100ms, 20};
-constexpr auto last_answers_time = 200ms;  // lets clients read the last output
+constexpr auto last_answers_time = 200ms;  // for clients to read the last output
 constexpr auto shutdown_margin = 1s;  // added to the configured grace periods
 constexpr std::size_t nonce_bytes = 18;
 
--- a/src/service/session_registry.cpp
+++ b/src/service/session_registry.cpp
@@ -34,7 +34,8 @@
 }
 
 std::shared_ptr<ClientSession> SessionRegistry::find(pg::CancelKey key) const {
-  // A key contains only the low bits of the id. The high bits may be zero or those of the latest id.
+  // A key contains only the low bits of an id. The session is looked for among the first ids, whose high bits
+  // are zero, and among those that share their high bits with the latest id.
   for (const std::uint64_t high_bits : {std::uint64_t{0}, last_session_ & ~process_mask}) {
     auto session = find(high_bits | key.process);
     if (session && session->key() == key) return session;
