--- a/simulation/explorer/model_moves.cpp
+++ b/simulation/explorer/model_moves.cpp
@@ -7,8 +7,8 @@
 namespace paddlestand::explorer {
 namespace {
 
-/// Time is advanced to a timer that is due within this period without a step to just before it: such a short
-/// distance is what a step to just before a timer leaves.
+/// If a timer is due within this period, no step to just before it is possible: that step has already been
+/// made, and leaves a distance this short.
 constexpr Duration due_soon = std::chrono::microseconds(100);
 
 }  // namespace
--- a/test_engine/faults.hpp
+++ b/test_engine/faults.hpp
@@ -6,7 +6,7 @@
 /// The faults that are active. Shares are probabilities from 0 to 1.
 struct InjectedFaults {
   bool hang = false;  ///< accepts queries, but neither executes nor answers them
-  bool vanish = false;  ///< as `hang`; also leaves new connections without a session
+  bool vanish = false;  ///< as `hang`; also accepts new connections without reading from them
   bool overloaded = false;  ///< rejects every query
   bool draining = false;  ///< rejects new sessions
   bool stop_before_answer = false;  ///< executes the query, but sends no answer
--- a/test_engine/session.hpp
+++ b/test_engine/session.hpp
@@ -80,7 +80,7 @@
   tcp::socket socket_;
   pg::CancelKey cancel_key_;
   pg::FrameReader frames_;
-  boost::asio::steady_timer query_end_event_;  // cancelled on the end of the query or of the session
+  boost::asio::steady_timer query_end_event_;  // cancelled when the query or the session ends
   std::deque<std::pair<char, std::string>> pending_messages_;  // received completely, not processed yet
   std::string output_;
   std::string manager_name_;  // the application_name of the connection
--- a/tests/incidents/interrupted_send_test.cpp
+++ b/tests/incidents/interrupted_send_test.cpp
@@ -176,7 +176,8 @@
   StoppedWithinALoopTurn() : StoppedBeforeSend("send_request stop:250 0.05 1.5 1e9") {}
 };
 
-// The same for requests that were read together and are sent one after the other.
+// The deadline of each request must also be computed after the stop if several requests were read together
+// and the stop falls between sending two of them.
 TEST_F(StoppedWithinALoopTurn, GrantsAnEngineNoMoreThanTheClientsTime) { expect_correct_deadlines(20, 5); }
 
 // No attempt may be sent for a client that closed its connection during the stop.
@@ -184,7 +185,8 @@
   expect_no_attempt_after(1, [](RawClient& client, const auto&) { client.wire().close(); });
 }
 
-// The same for the remaining requests of one read.
+// Several requests of a client are read together, and the client closes its connection during the stop: none
+// of those that were not sent before the stop may be sent.
 TEST_F(StoppedBeforeSend, SendsNoAttemptForAClosedClientWithSeveralOpenRequests) {
   expect_no_attempt_after(8, [](RawClient& client, const auto&) { client.wire().close(); });
 }
@@ -203,7 +205,8 @@
   StoppedWithinAFrame() : InterruptedManager("send stop:250 0.01 1.5 1e9; send short 0.9 1.5 1e9") {}
 };
 
-// One part of a frame is sent before the stop, the other part after it.
+// Short sends write one part of a frame before the stop. Its granted time was computed then and is outdated
+// after the stop, so an engine must not receive it with the remaining part.
 TEST_F(StoppedWithinAFrame, GrantsAnEngineNoMoreThanTheClientsTime) { expect_correct_deadlines(1, 5); }
 
 }  // namespace
--- a/tests/service/engine_list_test.cpp
+++ b/tests/service/engine_list_test.cpp
@@ -27,8 +27,9 @@
   Engine second_;
 };
 
-// Guards against a reload that does not retry an invalid settings file. The manager gets the path of a file
-// that exists: with any other path, this would test an unreadable file instead of an invalid one.
+// Guards against a reload that does not read an invalid settings file again after the file was corrected. The
+// manager must get the path of that file: without a path, the reload would fail because it cannot read any
+// file, not because the settings are invalid.
 TEST_F(EngineList, InvalidSettingsAreReadAgainUntilTheyAreCorrected) {
   RunningManager manager(manager_settings({first_->port()}), trusted_users(), folder_.path("manager.xml"));
   RawClient client(manager.port());
