--- a/tests/platform/attempts_test.cpp
+++ b/tests/platform/attempts_test.cpp
@@ -1,5 +1,5 @@
 // Attempts on real connections that close, hang or are established late: an attempt that may have run is not
-// retried if that is unsafe, one that certainly did not run is retried on another engine, and nothing leaks.
+// retried if that is unsafe, one that certainly did not run is retried, and nothing leaks.
 #include "peers.hpp"
 
 namespace paddlestand::platform::test {
--- a/tests/platform/client_close_test.cpp
+++ b/tests/platform/client_close_test.cpp
@@ -71,8 +71,8 @@
   EXPECT_TRUE(wait_until([&] { return server.clients() == 0; }));
 }
 
-// Every read ends inside a message for longer than the time limit of a message, but each message is completed
-// in time.
+// For longer than the time limit of one message, every read ends inside some message. Each message itself is
+// completed within the limit, so the client must not be rejected.
 TEST_F(ClientCloseTest, AClientWhoseReadsAllEndInsideAMessageIsServed) {
   RunningServer server(config());
   RawClient client(server.port());
