--- a/src/config/manager_config.cpp
+++ b/src/config/manager_config.cpp
@@ -222,8 +222,7 @@
     out.classifier.default_tenant = tenants->text("otherwise");
   }
 
-  /// Reads the rules that assign queries to classes. Each rule is validated alone first, so that an error is
-  /// reported with its line.
+  /// Reads the classification rules. Validates each one alone first, to report an error with its line.
   void read_rules(const Element& root, ManagerConfig& out) const {
     const Settings& module = out.core.module;
     Element rules_element = *root.child("classes");
@@ -326,7 +325,6 @@
 }
 
 // ---- Comparison for a reload ----
-
 namespace {
 
 using Part = FixedSetting::Part;
--- a/src/core/invariant_checks.cpp
+++ b/src/core/invariant_checks.cpp
@@ -35,18 +35,18 @@
 // ---- Sends ----
 
 void InvariantMonitor::check_send(const SendQuery& action, const Query& query, const Channel& channel) {
-  check_channel_is_clean(action, channel);
+  check_channel_reuse(action, channel);
   check_attempts(action, query);
   Engine& engine = engines_[channel.engine];
   check_drain(action, engine, channel.engine);
-  check_effect_once(action, query, engine);
-  check_order(action, query);
+  check_idempotency(action, query, engine);
+  check_key_order(action, query);
   check_retry_budget(action, query);
   check_placement(action, query, engine);
   check_slow_start(action, query, engine);
 }
 
-void InvariantMonitor::check_channel_is_clean(const SendQuery& action, const Channel& channel) {
+void InvariantMonitor::check_channel_reuse(const SendQuery& action, const Channel& channel) {
   const std::string text = query_text(action.query);
   if (!channel.up || channel.use != ChannelUse::query)
     violation(Invariant::channel_reuse, text + " is sent on a channel that is not open");
@@ -77,7 +77,7 @@
             query_text(action.query) + " is sent to engine " + std::to_string(id) + " after its drain grace");
 }
 
-void InvariantMonitor::check_effect_once(const SendQuery& action, const Query& query, const Engine& engine) {
+void InvariantMonitor::check_idempotency(const SendQuery& action, const Query& query, const Engine& engine) {
   const ClassSettings& class_settings = class_of(query);
   if (class_settings.idempotency == Idempotency::idempotent) return;
   const Attempt* first = query.first_that_may_have_run();
@@ -94,7 +94,7 @@
     violation(Invariant::idempotency, text + " on an engine that does not know its key");
 }
 
-void InvariantMonitor::check_order(const SendQuery& action, const Query& query) {
+void InvariantMonitor::check_key_order(const SendQuery& action, const Query& query) {
   if (query.key == 0) return;
   for (const QueryId other : key_order_.queue(query.key)) {
     if (other == action.query) break;
--- a/src/core/invariant_monitor.hpp
+++ b/src/core/invariant_monitor.hpp
@@ -78,12 +78,12 @@
 
   // ---- Checks ----
   void check_send(const SendQuery& action, const monitored::Query& query, const monitored::Channel& channel);
-  void check_channel_is_clean(const SendQuery& action, const monitored::Channel& channel);
+  void check_channel_reuse(const SendQuery& action, const monitored::Channel& channel);
   void check_attempts(const SendQuery& action, const monitored::Query& query);
   void check_drain(const SendQuery& action, const monitored::Engine& engine, EngineId id);
-  void check_effect_once(const SendQuery& action, const monitored::Query& query,
+  void check_idempotency(const SendQuery& action, const monitored::Query& query,
                          const monitored::Engine& engine);
-  void check_order(const SendQuery& action, const monitored::Query& query);
+  void check_key_order(const SendQuery& action, const monitored::Query& query);
   void check_retry_budget(const SendQuery& action, const monitored::Query& query);
   void check_placement(const SendQuery& action, const monitored::Query& query,
                        const monitored::Engine& engine);
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -39,8 +39,8 @@
 /// from its arrival, or from when it became the first of its key.
 struct AdmissionController::LatencySample {
   // Times from which the ages of the oldest and newest request within its objective count, in seconds.
-  double oldest = 0;
-  double newest = -1;
+  double oldest_request_since = 0;
+  double newest_request_since = -1;
   double requests = 0;  // number of these requests
   double objective_sum = 0;  // seconds
   double late_requests = 0;  // number of requests past their objective
@@ -121,7 +121,7 @@
 
 AdmissionController::LatencySample AdmissionController::sample_latency(std::size_t class_index) const {
   LatencySample sample;
-  sample.oldest = state_.now;
+  sample.oldest_request_since = state_.now;
   for (const auto& [id, request] : state_.requests) {
     if (request.class_index != class_index || request.is_over || !state_.is_first_of_key(request)) continue;
     const double objective = costs_.latency_objective_of(request);
@@ -135,10 +135,10 @@
       sample.late_requests += 1;
       continue;
     }
-    sample.oldest = std::min(sample.oldest, request.first_of_key_since);
-    sample.newest = std::max(sample.newest, request.first_of_key_since);
+    sample.oldest_request_since = std::min(sample.oldest_request_since, request.first_of_key_since);
+    sample.newest_request_since = std::max(sample.newest_request_since, request.first_of_key_since);
   }
-  sample.newest = std::max(sample.newest, sample.oldest);
+  sample.newest_request_since = std::max(sample.newest_request_since, sample.oldest_request_since);
   return sample;
 }
 
@@ -177,7 +177,8 @@
   const double min_bound = min_bound_share * max_bound;
   // b_f = 2/rho * (L - t + (t_oldest + t_newest) / 2) - running
   const double predicted_bound =
-      2 * class_state.drain_rate * (target - state_.now + (sample.oldest + sample.newest) / 2) -
+      2 * class_state.drain_rate *
+          (target - state_.now + (sample.oldest_request_since + sample.newest_request_since) / 2) -
       class_state.running_cost;
   update_feedback_bound(class_state, sample, target);
   class_state.feedback_bound = std::clamp(class_state.feedback_bound, -max_bound, max_bound);
--- a/src/service/engine_list_file.cpp
+++ b/src/service/engine_list_file.cpp
@@ -23,7 +23,7 @@
 void EngineListFile::on_missing() {
   if (!is_missing_) {
     log_.warn(observe::LogEvent::engine_list,
-              {{Field::file, config_.engines_file}, {Field::reason, "can't be read"}},
+              {{Field::file, config_.engines_file}, {Field::reason, "cannot be read"}},
               "the current engine list stays in use");
   }
   is_missing_ = true;
--- a/src/service/users.cpp
+++ b/src/service/users.cpp
@@ -45,7 +45,7 @@
 
   const auto text = config::read_file(listen.users_file, max_file_bytes);
   if (std::holds_alternative<config::FileError>(text))
-    return CredentialsError{listen.users_file, 0, "can't be read"};
+    return CredentialsError{listen.users_file, 0, "cannot be read"};
   std::istringstream lines(std::get<std::string>(text));
   int number = 0;
   for (std::string line; std::getline(lines, line);) {
@@ -63,7 +63,7 @@
   std::string password;
   if (path.empty()) return password;
   const auto text = config::read_file(path, max_file_bytes);
-  if (std::holds_alternative<config::FileError>(text)) return CredentialsError{path, 0, "can't be read"};
+  if (std::holds_alternative<config::FileError>(text)) return CredentialsError{path, 0, "cannot be read"};
   std::istringstream lines(std::get<std::string>(text));
   if (!std::getline(lines, password) || password.empty())
     return CredentialsError{path, 0, "expected a password in the first line"};
--- a/tests/faults/client_processes.cpp
+++ b/tests/faults/client_processes.cpp
@@ -7,7 +7,7 @@
 
 namespace bp = boost::process;
 
-constexpr std::int64_t finish_limit = 8 * second;
+constexpr std::int64_t finish_limit = 8 * ns_per_second;
 
 std::string comma_separated(const std::vector<Endpoint>& endpoints) {
   std::string text;
--- a/tests/faults/clients.cpp
+++ b/tests/faults/clients.cpp
@@ -24,9 +24,11 @@
 namespace {
 
 // Time allowed after the client timeout: 0.5 s for the manager, 0.2 s for delays of the machine.
-constexpr std::int64_t answer_slack = 700 * millisecond;
-constexpr std::int64_t idle_timeout = 3800 * millisecond;  // clients close connections after 4 s of idle time
-constexpr std::int64_t idle_connection_period = 100 * millisecond;  // one new connection to each manager
+constexpr std::int64_t answer_slack = 700 * ns_per_millisecond;
+// Clients close connections after 4 s of idle time.
+constexpr std::int64_t idle_timeout = 3800 * ns_per_millisecond;
+// One new connection to each manager.
+constexpr std::int64_t idle_connection_period = 100 * ns_per_millisecond;
 constexpr std::size_t max_open_requests = 8;  // per connection
 constexpr int burst_requests = 4;  // written together
 
@@ -68,7 +70,7 @@
   bool misbehaves_with(double probability) { return options_.misbehaves && draw_uniform() < probability; }
   /// A whole number of milliseconds, in nanoseconds.
   std::int64_t draw_ms(std::int64_t least, std::int64_t most) {
-    return std::uniform_int_distribution<std::int64_t>(least, most)(random_) * millisecond;
+    return std::uniform_int_distribution<std::int64_t>(least, most)(random_) * ns_per_millisecond;
   }
   std::uint64_t draw_trace() {
     constexpr std::uint64_t random_bits = 0x00ffffffffffffffU;
@@ -90,7 +92,7 @@
     request.trace = draw_trace();
     const bool is_short = draw_uniform() < short_timeout_probability;
     request.client_timeout_ms =
-        draw_ms(is_short ? short_timeout_ms : usual_timeout_ms, max_timeout_ms) / millisecond;
+        draw_ms(is_short ? short_timeout_ms : usual_timeout_ms, max_timeout_ms) / ns_per_millisecond;
     request.request_class = draw_class();
     return request;
   }
@@ -187,7 +189,7 @@
     OpenRequest open;
     open.trace = request.trace;
     open.began = monotonic_now();
-    open.unanswered_at = open.began + request.client_timeout_ms * millisecond + answer_slack;
+    open.unanswered_at = open.began + request.client_timeout_ms * ns_per_millisecond + answer_slack;
     if (misbehaves_with(cancel_probability)) open.cancel_at = open.began + draw_ms(0, 300);
     connection.open.emplace(request.id, open);
     connection.unsent[request.id] = {.kind = EventKind::request_sent,
@@ -225,7 +227,7 @@
     log_.write(event);
     OpenRequest& open = connection.open.at(id);
     open.sent = event.at;
-    open.unanswered_at = event.at + event.value * millisecond + answer_slack;
+    open.unanswered_at = event.at + event.value * ns_per_millisecond + answer_slack;
     connection.last_used = event.at;
   }
 
--- a/tests/faults/discovery.cpp
+++ b/tests/faults/discovery.cpp
@@ -14,8 +14,8 @@
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::int64_t heartbeat_period = 1 * second;
-constexpr std::int64_t old_connection_lifetime = 1500 * millisecond;  // after the service has moved
+constexpr std::int64_t heartbeat_period = 1 * ns_per_second;
+constexpr std::int64_t old_connection_lifetime = 1500 * ns_per_millisecond;  // after the service has moved
 constexpr int tick_ms = 10;
 
 const char* lifecycle_of(EngineState state) {
--- a/tests/faults/engine.cpp
+++ b/tests/faults/engine.cpp
@@ -115,7 +115,7 @@
   double draw_uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   /// A whole number of milliseconds, in nanoseconds.
   std::int64_t draw_ms(std::int64_t least, std::int64_t most) {
-    return std::uniform_int_distribution<std::int64_t>(least, most)(random_) * millisecond;
+    return std::uniform_int_distribution<std::int64_t>(least, most)(random_) * ns_per_millisecond;
   }
 
   [[nodiscard]] bool hangs() const {
@@ -155,7 +155,7 @@
   [[nodiscard]] std::int64_t poll_timeout_ms() const {
     std::int64_t timeout_ms = max_poll_ms;
     const auto limit_to = [&](std::int64_t due) {
-      const std::int64_t until_due_ms = (due - monotonic_now()) / millisecond + 1;
+      const std::int64_t until_due_ms = (due - monotonic_now()) / ns_per_millisecond + 1;
       timeout_ms = std::min(timeout_ms, std::clamp<std::int64_t>(until_due_ms, 0, max_poll_ms));
     };
     if (!pending_answers_.empty()) limit_to(pending_answers_.begin()->first);
--- a/tests/faults/engine_processes.cpp
+++ b/tests/faults/engine_processes.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr EngineId first_engine = 100;
-constexpr std::int64_t kill_limit = 1 * second;
-constexpr std::int64_t publish_delay = 100 * millisecond;  // after the start of an added engine
+constexpr std::int64_t kill_limit = 1 * ns_per_second;
+constexpr std::int64_t publish_delay = 100 * ns_per_millisecond;  // after the start of an added engine
 constexpr double max_restart_delay_s = 0.3;
 constexpr double max_removal_delay_s = 0.2;
 constexpr double max_return_delay_s = 0.3;  // after the removal is published
--- a/tests/faults/manager_config.hpp
+++ b/tests/faults/manager_config.hpp
@@ -10,7 +10,7 @@
 namespace paddlestand::faults {
 
 /// The deadline of every request class.
-constexpr std::int64_t longest_deadline = 1200 * millisecond;
+constexpr std::int64_t longest_deadline = 1200 * ns_per_millisecond;
 
 /// The values that differ between the managers of a run or between successive configurations of a manager.
 struct ManagerConfig {
--- a/tests/faults/manager_processes.cpp
+++ b/tests/faults/manager_processes.cpp
@@ -16,12 +16,13 @@
 
 namespace bp = boost::process;
 
-constexpr std::int64_t kill_delay = longest_deadline + 700 * millisecond;  // after SIGTERM
-constexpr std::int64_t connect_period = 300 * millisecond;  // after SIGTERM: clients may still connect
-constexpr std::int64_t restart_delay = 200 * millisecond;  // after a manager exited unexpectedly
-constexpr std::int64_t ready_limit = 10'000 * millisecond;
-constexpr std::int64_t kill_limit = 1 * second;
-constexpr std::int64_t signal_handler_delay = 1 * second;  // after a start, until SIGHUP can be handled
+constexpr std::int64_t kill_delay = longest_deadline + 700 * ns_per_millisecond;  // after SIGTERM
+constexpr std::int64_t connect_period = 300 * ns_per_millisecond;  // after SIGTERM: clients may still connect
+constexpr std::int64_t restart_delay = 200 * ns_per_millisecond;  // after a manager exited unexpectedly
+constexpr std::int64_t ready_limit = 10'000 * ns_per_millisecond;
+constexpr std::int64_t kill_limit = 1 * ns_per_second;
+// After a start, until SIGHUP can be handled.
+constexpr std::int64_t signal_handler_delay = 1 * ns_per_second;
 
 /// Whether a health check, as clients send it, reports the manager as ready.
 bool answers_ready(const Endpoint& manager) {
--- a/tests/faults/monotonic_clock.hpp
+++ b/tests/faults/monotonic_clock.hpp
@@ -6,14 +6,14 @@
 
 namespace paddlestand::faults {
 
-constexpr std::int64_t millisecond = 1'000'000;  // ns
-constexpr std::int64_t second = 1'000'000'000;  // ns
+constexpr std::int64_t ns_per_millisecond = 1'000'000;
+constexpr std::int64_t ns_per_second = 1'000'000'000;
 
 /// CLOCK_MONOTONIC in nanoseconds: the same for all processes of a machine, and never stepped.
 inline std::int64_t monotonic_now() {
   timespec now{};
   ::clock_gettime(CLOCK_MONOTONIC, &now);
-  return static_cast<std::int64_t>(now.tv_sec) * second + now.tv_nsec;
+  return static_cast<std::int64_t>(now.tv_sec) * ns_per_second + now.tv_nsec;
 }
 
 /// Converts a duration from seconds to nanoseconds.
--- a/tests/faults/run.cpp
+++ b/tests/faults/run.cpp
@@ -16,7 +16,7 @@
 namespace paddlestand::faults {
 namespace {
 
-constexpr std::int64_t ready_limit = 10 * second;
+constexpr std::int64_t ready_limit = 10 * ns_per_second;
 
 class FaultRun {
  public:
@@ -36,7 +36,7 @@
 
  private:
   void wait_until_ready() {
-    constexpr std::int64_t check_interval = 10 * millisecond;
+    constexpr std::int64_t check_interval = 10 * ns_per_millisecond;
     const std::int64_t end = monotonic_now() + ready_limit;
     while (!managers_.all_ready() && monotonic_now() < end) loop_until(monotonic_now() + check_interval);
     began_ = monotonic_now();
--- a/tests/faults/sockets.cpp
+++ b/tests/faults/sockets.cpp
@@ -30,7 +30,7 @@
     timespec received{};
     std::memcpy(&received, CMSG_DATA(header), sizeof(received));
     if (received.tv_sec == 0) continue;
-    elapsed += (now.tv_sec - received.tv_sec) * second + (now.tv_nsec - received.tv_nsec);
+    elapsed += (now.tv_sec - received.tv_sec) * ns_per_second + (now.tv_nsec - received.tv_nsec);
   }
   return elapsed;
 }
--- a/tests/faults/verdict.cpp
+++ b/tests/faults/verdict.cpp
@@ -12,15 +12,17 @@
 namespace {
 
 // Each limit is the limit that the platform sets plus its tolerance of 50 ms.
-constexpr std::int64_t late_attempt_limit = 150 * millisecond;  // after the client abandoned the request
+// After the client abandoned the request.
+constexpr std::int64_t late_attempt_limit = 150 * ns_per_millisecond;
 constexpr std::int64_t deadline_slack_ms = 150;  // of the time granted to an engine
 // For a request that is in transit while the manager closes the connection.
-constexpr std::int64_t crossing_limit = 70 * millisecond;
+constexpr std::int64_t crossing_limit = 70 * ns_per_millisecond;
 // An engine handles a cancel or a close when its event loop reads it; the manager may continue earlier.
-constexpr std::int64_t engine_loop_delay = 50 * millisecond;
-constexpr std::int64_t crash_detection_limit = 1000 * millisecond;  // until clients detect a killed manager
+constexpr std::int64_t engine_loop_delay = 50 * ns_per_millisecond;
+// Until clients detect a killed manager.
+constexpr std::int64_t crash_detection_limit = 1000 * ns_per_millisecond;
 // An attempt may start between the occurrence of an event and its record.
-constexpr std::int64_t record_delay = 1 * millisecond;
+constexpr std::int64_t record_delay = 1 * ns_per_millisecond;
 
 const char* name_of(Rule rule) {
   switch (rule) {
@@ -37,7 +39,7 @@
   return "unknown rule";
 }
 
-std::string in_ms(std::int64_t ns) { return std::to_string(ns / millisecond) + " ms"; }
+std::string in_ms(std::int64_t ns) { return std::to_string(ns / ns_per_millisecond) + " ms"; }
 
 std::string engine_name(const RunEvent& attempt) { return "engine " + std::to_string(attempt.subject); }
 
@@ -174,7 +176,7 @@
   void check_granted_time(const RequestHistory& request) {
     if (!request.sent) return;
     for (const RunEvent& attempt : request.attempts_started) {
-      const std::int64_t elapsed_ms = (attempt.at - request.sent->at) / millisecond;
+      const std::int64_t elapsed_ms = (attempt.at - request.sent->at) / ns_per_millisecond;
       const std::int64_t remaining_ms = request.sent->value - elapsed_ms;
       if (attempt.value <= remaining_ms + deadline_slack_ms) continue;
       add_violation(Rule::deadline_within_client_timeout, request,
