--- a/apps/explore.cpp
+++ b/apps/explore.cpp
@@ -80,9 +80,10 @@
 }
 
 int replay_history(const ExploreOptions& options, const History& history) {
-  if (history.defect != "none" && !core::has_seeded_defects)
+  if (history.defect != "none" && !core::has_seeded_defects) {
     std::cout << "this build does not have the history's seeded defect " << history.defect
               << "; replaying without it\n";
+  }
   enable_defect(history.defect);
   const Scope scope = *find_scope(history.scope);
   const Replay result = replay_with_trace(scope, history.moves);
--- a/simulation/explorer/action_recorder.cpp
+++ b/simulation/explorer/action_recorder.cpp
@@ -193,9 +193,10 @@
   if (observed.is_answered) report(Invariant::one_answer, query_text(action.query) + " is answered twice");
   if (action.kind != core::AnswerKind::served) return;
   const EngineSideChannel* channel = manager_.find_channel(observed.rows_channel);
-  if (channel == nullptr || channel->parts() + 1 != observed.rows_delivered)
+  if (channel == nullptr || channel->parts() + 1 != observed.rows_delivered) {
     report(Invariant::complete_answer,
            query_text(action.query) + " is answered as served, but rows are missing");
+  }
 }
 
 void ActionRecorder::update_client(const core::Answer& action, std::uint32_t client_index) {
--- a/src/core/invariant_checks.cpp
+++ b/src/core/invariant_checks.cpp
@@ -168,9 +168,10 @@
     violation(Invariant::answered_before_timeout, text + " is answered after its client timeout");
   if (action.retry_after > settings_->module.max_retry_after || action.retry_after < Duration{})
     violation(Invariant::retry_advice, text + " has a Retry-After outside the allowed range");
-  if (action.kind == AnswerKind::cancelled && !query.abandoned)
+  if (action.kind == AnswerKind::cancelled && !query.abandoned) {
     violation(Invariant::accurate_answer,
               text + " is answered as cancelled, but its client did not cancel it");
+  }
   if (action.kind == AnswerKind::served) check_served(action, query);
   if (action.kind == AnswerKind::rejected || action.retry_safety == RetrySafety::safe)
     check_retry_safety(action, query);
--- a/src/platform/client_registry.cpp
+++ b/src/platform/client_registry.cpp
@@ -37,9 +37,10 @@
   std::shared_ptr<Client> candidate = best_to_evict(nullptr);
   if (candidate && candidate->may_have_input()) candidate = best_to_evict(candidate);
   if (!candidate || candidate->may_have_input()) return false;
-  if (!candidate->is_lingering())
+  if (!candidate->is_lingering()) {
     log_rejection(*candidate,
                   {std::nullopt, jsonrpc::ErrorCode::rejected, "idle connection closed to make room"});
+  }
   candidate->close("evicted while idle");
   return true;
 }
--- a/src/platform/message_batch.cpp
+++ b/src/platform/message_batch.cpp
@@ -31,9 +31,10 @@
   const auto problem = [&](jsonrpc::ErrorCode code, const char* text) {
     return jsonrpc::Problem{query.id, code, text};
   };
-  if (query.id <= load_.last_id)
+  if (query.id <= load_.last_id) {
     return problem(jsonrpc::ErrorCode::invalid_request,
                    "id: expected one above all ids used on this connection");
+  }
   if (requests_.is_trace_open(query.trace) || !load_.pending_traces.insert(query.trace).second)
     return problem(jsonrpc::ErrorCode::invalid_params, "trace: already in use by an open request");
   load_.open_requests.emplace(query.id, query.trace);
--- a/tests/incidents/incident_test.hpp
+++ b/tests/incidents/incident_test.hpp
@@ -75,9 +75,10 @@
     const auto end = Clock::now() + std::chrono::milliseconds(client_timeout_ms);
     while (!done()) {
       if (Clock::now() > end) return false;
-      for (CountingEngine& current : engines_)
+      for (CountingEngine& current : engines_) {
         current.poll(
             [&](Connection& connection, const auto& frame) { on_frame(current, connection, frame); });
+      }
       run_due_steps();
     }
     return true;
--- a/trace_checker/trace_checker.cpp
+++ b/trace_checker/trace_checker.cpp
@@ -244,9 +244,10 @@
   void check_slow_starts() {
     std::set<std::string> reported;
     for (const Record* crash : trace_.crashes) {
-      if (reported.insert(crash->engine).second)
+      if (reported.insert(crash->engine).second) {
         report(slow_start, crash->engine + " crashed during its slow start",
                &trace_.attempts.at(crash->attempt_id));
+      }
     }
   }
 
